--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -183,25 +183,25 @@
     Edit(
         "a place at an endpoint that leaves is declined",
         "direct/asking.py",
-        "        if held is not None:\n",
+        "        if block is not None:\n",
         "        if False:\n",
     ),
     Edit(
         "a state that comes late changes nothing",
         "direct/granting.py",
-        "        if state.number <= asking.number:\n            return False\n",
+        "        if state.number <= client.number:\n            return False\n",
         "",
     ),
     Edit(
         "a place that was granted is not granted again",
         "direct/granting.py",
-        "elif granted is None and number not in asking.denied:",
-        "elif number not in asking.denied:",
+        "elif granted is None and number not in client.denied:",
+        "elif number not in client.denied:",
     ),
     Edit(
         "places of a silent entry come back",
         "direct/granting.py",
-        "if now - asking.heard > LEASE_S",
+        "if now - client.heard > LEASE_S",
         "if False",
     ),
     Edit(
@@ -231,7 +231,7 @@
     Edit(
         "an endpoint that names a limit is sent no more",
         "direct/send_guard.py",
-        "return Hold(HoldReason.LIMITED, opens) if opens > now else None",
+        "return Hold(HoldReason.LIMITED, next_at) if next_at > now else None",
         "return None",
     ),
     Edit(
@@ -243,7 +243,7 @@
     Edit(
         "entries that lose their coordinator do not all send at once",
         "direct/send_guard.py",
-        "if now > opens + each_s:",
+        "if now > turn_at + each_s:",
         "if limit.due is None:",
     ),
     Edit(
@@ -285,14 +285,14 @@
     Edit(
         "the coordinator gives an entry no place that it declines",
         "direct/granting.py",
-        "held_until=_held_until(told, now),",
+        "held_until=_held_until(waiting_job, now),",
         "held_until={},",
     ),
     Edit(
         "a rest is a matter of the entry that was asked for it",
         "direct/send_guard.py",
-        "rest = None if job.for_peer else _rest(row, now)",
-        "rest = _rest(row, now)",
+        "backoff = None if job.for_peer else _rest(row, now)",
+        "backoff = _rest(row, now)",
     ),
     Edit(
         "an endpoint that is cold is sent less",
--- a/dockreach/direct/asking.py
+++ b/dockreach/direct/asking.py
@@ -1,4 +1,4 @@
-"""The asking side of places: what this entry's requests wait for and hold."""
+"""Requests slots from the coordinators of services, for this entry's own requests."""
 
 from __future__ import annotations
 
@@ -24,32 +24,37 @@
 from .send_guard import SendGuard
 
 ANSWER_S = 0.03
-"""Time after which a state that was not answered is sent again, in seconds: ten round
-trips between data halls, and a moment in which the coordinator is busy."""
+"""Time without a reply after which a state is sent again, in seconds: ten round trips
+between data halls, plus a moment in which the coordinator is busy."""
 
 MOST_SENDS = 3
-"""States in a row without an answer after which their jobs are placed by this entry."""
+"""Number of states in a row without a reply after which this entry assigns slots to the
+waiting jobs itself."""
 
 WAITING_S = 0.1
-"""Longest time between states while a request waits, in seconds: a grant that is lost on
-the way is told again after it."""
+"""Longest time between states while a job waits, in seconds: the coordinator repeats a lost
+grant in its reply to the next state."""
 
 HOLDING_S = 0.25
-"""Longest time between states while places are held, in seconds: four of them are missing
-before the coordinator gives these places to others."""
+"""Longest time between states while jobs hold slots, in seconds: four of them have to be
+lost before the lease expires and the coordinator grants the slots to others."""
 
 
 @dataclass(slots=True)
 class _Session:
-    """What goes on between this entry and the coordinator of one service.
+    """The exchange of this entry with the coordinator of one service.
 
     Attributes:
-        coordinator: Whom to ask; ``None`` if this entry gives out the places itself.
-        waiting: Jobs that were asked for, by number.
-        held: Jobs of this entry that have a place, by number, whoever gave it.
+        coordinator: The entry to request slots from; ``None`` if this entry assigns the
+            service's slots itself.
+        waiting: Jobs for which a slot is requested, by number.
+        held: Jobs of this entry that hold a slot, by number, whether a coordinator granted
+            it or this entry assigned it.
         has_news: Whether something changed since the last state.
-        unanswered: States since the last answer that wanted one.
-        has_told_sends: Whether the coordinator knows what was sent before it was asked.
+        unanswered: Number of states with waiting jobs since the last reply.
+        sent: Monotonic time of the last state, in seconds.
+        has_told_sends: Whether the coordinator knows what this entry sent to endpoints
+            before its first request for a slot.
     """
 
     coordinator: Address | None = None
@@ -71,19 +76,22 @@
         return now - self.sent >= (ANSWER_S if self.unanswered else WAITING_S)
 
     def is_silent(self, now: float) -> bool:
-        """Return whether the coordinator has left several states without an answer."""
+        """Return whether the coordinator has not replied to several states."""
         return self.unanswered >= MOST_SENDS and now - self.sent >= ANSWER_S
 
 
 class Asker:
-    """Asks coordinators for places.
+    """Requests slots from coordinators.
 
     Args:
         own: This entry's address.
-        incarnation: Drawn at its start.
-        coordinators: Says whom to ask.
-        endpoints: Where jobs can be placed.
-        guard: Bounds what endpoints are sent.
+        incarnation: Number of this entry's incarnation, drawn at random at its start.
+        coordinators: Selects the coordinator of a service.
+        endpoints: The endpoints that have slots.
+        guard: Limits what endpoints are sent.
+
+    Attributes:
+        fallbacks: Number of jobs that this entry took over from unresponsive coordinators.
     """
 
     def __init__(
@@ -106,7 +114,7 @@
         self.fallbacks = 0
 
     def waiting(self) -> dict[str, int]:
-        """Return how many jobs wait for an answer, by service."""
+        """Return the number of jobs that wait for a slot, by service."""
         return {
             name: len(session.waiting)
             for name, session in self._sessions.items()
@@ -114,7 +122,7 @@
         }
 
     def ask(self, job: Job, now: float) -> bool:
-        """Ask for a place; return whether there is somebody to ask."""
+        """Request a slot; return whether another entry coordinates the job's service."""
         job.number = next(self._job_numbers)
         session = self._session(job.service, now)
         if session.coordinator is None:
@@ -124,39 +132,41 @@
         return True
 
     def hold(self, job: Job) -> None:
-        """Note that a job has a place."""
+        """Record that a job holds a slot."""
         session = self._sessions.setdefault(job.service, _Session())
         session.held[job.number] = job
         session.has_news = True
 
     def note_read(self, job: Job) -> None:
-        """Note that a job's prompt is read."""
+        """Record that the prefill of a job's prompt has ended."""
         self._sessions.setdefault(job.service, _Session()).has_news = True
 
     def drop(self, job: Job) -> None:
-        """Note that a job neither waits nor holds a place any more."""
+        """Record that a job no longer waits for a slot or holds one."""
         session = self._sessions.get(job.service)
         if session is None:
             return
-        waited = session.waiting.pop(job.number, None)
-        held = session.held.pop(job.number, None)
-        session.has_news = session.has_news or waited is not None or held is not None
-
-    def take(self, answer: PlacingAnswer, now: float) -> list[Decision]:
-        """Take in what a coordinator decided."""
-        session = self._sessions.get(answer.service)
-        if session is None or answer.incarnation != self._incarnation:
+        waiting_job = session.waiting.pop(job.number, None)
+        held_job = session.held.pop(job.number, None)
+        session.has_news = (
+            session.has_news or waiting_job is not None or held_job is not None
+        )
+
+    def take(self, reply: PlacingAnswer, now: float) -> list[Decision]:
+        """Handle the decisions of a coordinator."""
+        session = self._sessions.get(reply.service)
+        if session is None or reply.incarnation != self._incarnation:
             return []
-        if answer.address != session.coordinator:
+        if reply.address != session.coordinator:
             return []
         session.unanswered = 0
         session.has_told_sends = True
         decisions: list[Decision] = []
-        for grant in answer.grants:
+        for grant in reply.grants:
             placed = self._use(session, grant, now)
             if placed is not None:
                 decisions.append(placed)
-        for denial in answer.denials:
+        for denial in reply.denials:
             job = session.waiting.pop(denial.number, None)
             if job is not None:
                 session.has_news = True
@@ -166,10 +176,10 @@
         return decisions
 
     def _use(self, session: _Session, grant: Grant, now: float) -> Placed | None:
-        """Take a place; decline one at an endpoint that is gone or gets nothing now.
+        """Acquire a granted slot; decline it if the endpoint is gone or blocked.
 
-        One that may get something later is named in the next state, so that the coordinator
-        gives another place until then.
+        The next state lists endpoints that are blocked for a while, so that the coordinator
+        grants a slot elsewhere until then.
         """
         job = session.waiting.get(grant.number)
         if job is None:
@@ -179,9 +189,9 @@
         if row is None or row.id in job.tried:
             job.tried.add(grant.endpoint)
             return None
-        held = self._guard.hold_grant(row, now)
-        if held is not None:
-            if held.until == math.inf:
+        block = self._guard.hold_grant(row, now)
+        if block is not None:
+            if block.until == math.inf:
                 job.tried.add(row.id)
             return None
         del session.waiting[job.number]
@@ -193,7 +203,7 @@
         return Placed(job, row)
 
     def expire(self, now: float) -> list[Decision]:
-        """Refuse jobs that have waited for long enough."""
+        """Refuse jobs that have waited until their queue deadlines."""
         decisions: list[Decision] = []
         for session in self._sessions.values():
             for job in [job for job in session.waiting.values() if now >= job.give_up]:
@@ -203,7 +213,11 @@
         return decisions
 
     def unanswered(self, now: float) -> list[Job]:
-        """Return jobs that this entry has to place itself."""
+        """Abandon unresponsive coordinators.
+
+        Returns:
+            Jobs that waited for them, to which this entry has to assign slots itself.
+        """
         jobs: list[Job] = []
         for service, session in self._sessions.items():
             if session.coordinator is None or not session.is_silent(now):
@@ -220,7 +234,7 @@
         return jobs
 
     def _session(self, service: str, now: float) -> _Session:
-        """Return a service's session, with the entry that is to be asked now."""
+        """Return the session of a service, after a change to its present coordinator."""
         session = self._sessions.setdefault(service, _Session())
         coordinator = self._coordinators.of(service, now)
         if coordinator != session.coordinator:
@@ -232,12 +246,12 @@
         return session
 
     def _close(self, service: str, session: _Session) -> None:
-        """Tell a coordinator that it need not count this entry's places any longer."""
+        """Send a coordinator an empty state, so that it releases this entry's slots."""
         if session.coordinator is not None:
             self._closing.append((session.coordinator, self._state(service, [], [], [])))
 
     def _leave(self, service: str, session: _Session) -> list[Job]:
-        """Stop asking a coordinator; return the jobs that waited for it."""
+        """Stop requesting slots from a coordinator; return the jobs that waited for it."""
         self._close(service, session)
         jobs = list(session.waiting.values())
         session.waiting.clear()
@@ -246,7 +260,11 @@
         return jobs
 
     def reconsider(self, now: float) -> list[Job]:
-        """Look whom to ask now; return jobs that this entry has to place itself."""
+        """Select the coordinators of all services anew.
+
+        Returns:
+            Jobs to which this entry has to assign slots itself now.
+        """
         jobs: list[Job] = []
         for service in list(self._sessions):
             session = self._session(service, now)
@@ -256,37 +274,39 @@
         return jobs
 
     def due(self, now: float) -> list[tuple[Address, PlacingState]]:
-        """Return the states that are to be sent now, and to whom."""
-        found, self._closing = self._closing, []
+        """Return the states that are to be sent now, with their recipients."""
+        states, self._closing = self._closing, []
         for service, session in self._sessions.items():
             if session.coordinator is None or not session.is_due(now):
                 continue
-            holds = self._guard.grant_holds(service, now) if session.waiting else {}
-            waiting = [_waiting(job, now, holds) for job in session.waiting.values()]
+            blocked_s = self._guard.grant_holds(service, now) if session.waiting else {}
+            waiting = [_waiting(job, now, blocked_s) for job in session.waiting.values()]
             held = [_held(job) for job in session.held.values() if job.endpoint is not None]
             session.has_news = False
             session.sent = now
             session.unanswered += bool(waiting)
             state = self._state(service, waiting, held, self._sends(service, session, now))
-            found.append((session.coordinator, state))
-        return found
+            states.append((session.coordinator, state))
+        return states
 
     def _sends(self, service: str, session: _Session, now: float) -> list[LateSend]:
-        """Return what a coordinator that was never answered by has to know.
+        """Return the recent sends that a new coordinator needs to know.
 
-        Told until it answers: a state may be lost.
+        They go into each state until its first reply, since a state may be lost.
         """
         if session.has_told_sends:
             return []
-        late = self._endpoints.late_sends(service, now)
-        return [LateSend(endpoint, age) for endpoint, ages in late.items() for age in ages]
+        recent = self._endpoints.late_sends(service, now)
+        return [
+            LateSend(endpoint, age) for endpoint, ages in recent.items() for age in ages
+        ]
 
     def _state(
         self,
         service: str,
         waiting: list[WaitingJob],
         held: list[HeldJob],
-        sends: list[LateSend],
+        recent_sends: list[LateSend],
     ) -> PlacingState:
         return PlacingState(
             address=self._own,
@@ -296,14 +316,14 @@
             waiting=waiting,
             held=held,
             samples=self._endpoints.take_samples(service) if held or waiting else [],
-            sends=sends,
+            sends=recent_sends,
         )
 
 
 _NO_PLACE = Refusal(Verdict.NOT_RUN, Reason.SHED, retry_after_s=RETRY_AFTER_S)
 
 
-def _waiting(job: Job, now: float, holds: dict[str, float]) -> WaitingJob:
+def _waiting(job: Job, now: float, blocked_s: dict[str, float]) -> WaitingJob:
     return WaitingJob(
         number=job.number,
         route=job.route.name,
@@ -318,7 +338,7 @@
         was_weighed=job.was_weighed,
         tried=list(job.tried),
         halls=None if job.halls is None else sorted(job.halls),
-        holds=holds,
+        holds=blocked_s,
     )
 
 
--- a/dockreach/direct/cold.py
+++ b/dockreach/direct/cold.py
@@ -1,8 +1,8 @@
-"""How cold an endpoint is, and how many requests it may be sent meanwhile.
+"""Tracks whether an endpoint is cold, and limits what it is sent until it has warmed up.
 
-Load pattern: an endpoint comes back from a crash, or a whole data hall from an outage,
-while a burst stands. All its places look free, requests that fail there free them again at
-once, and it falls over at a rate that it bears once it is warm.
+Load pattern: an endpoint returns from a crash, or a whole data hall from an outage, during
+a burst of requests. All its slots look free, requests that fail there release them again at
+once, and it crashes under a rate that it can sustain once it is warm.
 """
 
 from __future__ import annotations
@@ -12,24 +12,24 @@
 from dataclasses import dataclass, field
 
 WINDOW_S = 1.05
-"""Span over which sends are counted, in seconds: the second in which the platform counts
-them, and the time for which a place that was given may be on its way to its entry."""
+"""Window over which sends are counted, in seconds: the second over which the platform counts
+them, plus the time that a grant may be in transit to its entry."""
 
 ALONE_WINDOW_S = 1.0
-"""The same for entries that decide alone: what they decide they send at once."""
+"""The same for entries that decide independently, which send at once."""
 
 WARM_PART = 0.92
-"""Part of the bound that the coordinator uses for an endpoint that is not known to be cold.
-It may be: what it says of itself is up to two seconds old. The rest, one request of 17, is
-left to entries that decide alone. Fast engines that are warm bear most of the bound."""
+"""Fraction of the bound that the coordinator uses for an endpoint not known to be cold. It
+may be cold, since its own report is up to two seconds old. The rest, one request of 17, is
+left to entries that decide independently. Fast warm engines need most of the bound."""
 
 COLD_PART = 0.45
-"""The same for one that is known to be cold: two entries that both think that they
-coordinate stay below the bound together."""
+"""The same for an endpoint known to be cold: two entries that both believe that they are
+the coordinator stay below the bound together."""
 
 ALONE_PART = 0.1
-"""Part of the bound that entries which decide alone use for an endpoint that is known to be
-cold, all together."""
+"""Fraction of the bound that all entries deciding independently use together for an endpoint
+known to be cold."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,50 +37,52 @@
     """By how much a cold endpoint's rate may be exceeded in a second, over all entries.
 
     Attributes:
-        over: Factor on the rate that it bears.
-        slack: Requests besides.
+        over: Factor on the rate that it can sustain.
+        slack: Number of requests on top.
     """
 
     over: float = 1.0
     slack: float = 0.0
 
     def bound(self, per_s: float) -> float:
-        """Return the most requests in a second for a rate that an endpoint bears cold."""
+        """Return the most requests in a second for a rate that a cold endpoint sustains."""
         return per_s * self.over + self.slack
 
 
 @dataclass(slots=True)
 class Warmth:
-    """What is known of one endpoint's being cold.
+    """Whether one endpoint is still warming up, as far as is known.
 
     Attributes:
-        told_until: Steady time until which it is cold by its own word, in seconds.
-        guessed_at: Steady time at which something happened after which endpoints are cold:
-            it started, was out of reach, or its data hall was empty.
-        is_out_of_reach: Whether no connection came up when it was last tried.
+        told_until: Monotonic time until which it is cold as it itself reports, in seconds.
+        guessed_at: Monotonic time of the last event after which endpoints are assumed to be
+            cold, in seconds: a start, the end of a time in which it was unreachable, or of
+            the evacuation of its data hall.
+        is_out_of_reach: Whether the last attempt to connect to it failed.
     """
 
     told_until: float = -math.inf
     guessed_at: float = -math.inf
     is_out_of_reach: bool = False
 
-    def is_cold(self, now: float, start_s: float) -> bool:
-        """Return whether the endpoint has to be taken for cold.
+    def is_cold(self, now: float, cold_start_s: float) -> bool:
+        """Return whether the endpoint is cold, or may be.
 
         Args:
-            now: Steady time, in seconds.
-            start_s: How long endpoints of its service are cold after a start, in seconds.
+            now: Monotonic time, in seconds.
+            cold_start_s: How long endpoints of its service are cold after a start, in
+                seconds.
         """
         if self.is_out_of_reach:
             return True
-        return now < max(self.told_until, self.guessed_at + start_s)
+        return now < max(self.told_until, self.guessed_at + cold_start_s)
 
     def lose_reach(self) -> None:
-        """Note that no connection came up: the endpoint may have crashed."""
+        """Record a failure to connect: the endpoint may have crashed."""
         self.is_out_of_reach = True
 
     def reach(self, now: float) -> None:
-        """Note that the endpoint answers; after an absence it may just have started."""
+        """Record a response: if the endpoint was unreachable, it may just have started."""
         if self.is_out_of_reach:
             self.is_out_of_reach = False
             self.guessed_at = now
@@ -88,46 +90,46 @@
 
 @dataclass(slots=True)
 class Sends:
-    """Requests that were sent to one endpoint lately, as far as this entry knows."""
+    """Times of recent requests to one endpoint, as far as this entry knows."""
 
     _times: deque[float] = field(default_factory=deque)
 
     def note(self, at: float) -> None:
-        """Count a request that is sent at a steady time, in seconds."""
+        """Record a request that was sent at a monotonic time, in seconds."""
         times = self._times
         while times and times[0] <= at - WINDOW_S:
             times.popleft()
         times.append(at)
 
     def count(self, now: float, window_s: float = WINDOW_S) -> int:
-        """Return how many were sent in the span before a moment, in seconds."""
+        """Return how many requests were sent in a window, in seconds, that ends now."""
         return sum(at > now - window_s for at in self._times)
 
     def ages(self, now: float) -> list[float]:
-        """Return how long ago each one of the last span was sent, in seconds."""
+        """Return how long ago each request of the last window was sent, in seconds."""
         return [now - at for at in self._times if at > now - WINDOW_S]
 
 
 def most_warm(bound: float, entries: int) -> int:
-    """Return the most sends in `WINDOW_S` to an endpoint that is not known to be cold.
+    """Return the most sends in `SEND_WINDOW_S` to an endpoint not known to be cold.
 
     Args:
         bound: The most that it may be sent in a second while it is cold.
-        entries: Entries that each decide alone; 1 for a coordinator.
+        entries: Number of entries that decide independently; 1 for a coordinator.
     """
     return max(math.floor(WARM_PART * bound / entries), 1)
 
 
 def most_cold(per_s: float, bound: float) -> int:
-    """Return the most sends in `WINDOW_S` that a coordinator gives out to a cold endpoint.
+    """Return the most slots that a coordinator grants in `SEND_WINDOW_S` at a cold endpoint.
 
     Args:
-        per_s: Requests a second that the endpoint bears.
+        per_s: Requests a second that the endpoint can sustain.
         bound: The most that it may be sent in a second.
     """
     return max(math.floor(min(per_s, COLD_PART * bound)), 1)
 
 
 def most_alone(bound: float) -> int:
-    """Return how many entries may each send one request a second to a cold endpoint."""
+    """Return how many independent entries may each send a cold endpoint a request a second."""
     return max(math.floor(ALONE_PART * bound), 1)
--- a/dockreach/direct/coordinators.py
+++ b/dockreach/direct/coordinators.py
@@ -1,13 +1,14 @@
-"""Which entry gives out the places of a service.
+"""Selects the coordinator of a service: the entry that assigns its slots.
 
-Load pattern: many entries that each see a few requests a second. What one knows of the
-others is a good part of a request's life old, so that places are given twice at one
-endpoint while others stand empty, and tiers go in order within one entry only. Where one
-entry gives out all places of a service, it knows them all.
+Load pattern: many entries, each with a few requests a second. What one entry knows of the
+others is out of date by a good part of a request's duration. Several entries then assign
+the same slot while other endpoints are idle, and tiers are ordered within each entry only.
+A single entry that assigns all slots of a service knows them all.
 
-The coordinator is chosen by weighted rendezvous hashing over the entries that are heard.
-Nobody is elected and nothing is stored: entries that disagree for a moment crowd some
-endpoints, and one that is silent costs its askers `SILENCE_S` once.
+Weighted rendezvous hashing over the entries that currently send digests selects the
+coordinator. There is no election and no stored state: while entries disagree for a moment,
+some endpoints are overloaded, and an unresponsive coordinator costs each of its clients a
+few reply timeouts (`slot_client.REPLY_TIMEOUT_S`) once.
 """
 
 from __future__ import annotations
@@ -22,39 +23,42 @@
 from .peers import PeerRow, PeerTable
 
 MATURE_S = 3.0
-"""Age from which an entry coordinates, in seconds, where there are such: one that has just
-started has measured no endpoint, and has not heard what others hold."""
+"""Minimum age of a coordinator, in seconds, unless all entries are younger: an entry that
+has just started has measured no endpoint, and doesn't know which slots others hold."""
 
 SUSPECT_S = 1.0
-"""How long an entry that did not answer is asked for no places, in seconds. It is about as
-long as a machine that hangs takes to be noticed by the digests that it misses."""
+"""How long no slots are requested from an entry that did not reply, in seconds. It takes
+about as long to notice a machine that hangs by its missing digests."""
 
 LEAST_CAPACITY = 0.01
-"""Least part of a processor core that an entry is taken to have."""
+"""Lower bound of an entry's capacity, as a fraction of a processor core."""
 
 
 class Standing(enum.Enum):
-    """In which capacity an entry gives out places of a service."""
+    """How an entry assigns the slots of a service."""
 
     COORDINATOR = enum.auto()
-    """It counts what all entries send."""
+    """It assigns all slots, and so counts what all entries send."""
 
     UNSURE = enum.auto()
-    """It gives places to others, and another entry may do so too."""
+    """It grants slots to other entries, and another entry may do so too."""
 
     ALONE = enum.auto()
-    """It places requests of its own only, and others place theirs."""
+    """It assigns slots to its own requests only, as others do to theirs."""
 
 
 class Coordinators:
-    """Says whom to ask for places.
+    """Selects the coordinators of services.
 
     Args:
         peers: The other entries.
-        capacity: Part of a processor core that this entry may use.
-        started: Steady time of the start, in seconds.
-        is_alone: Whether each entry gives out places by what it knows itself.
-        is_asked: Returns whether other entries have places of a service from this one.
+        capacity: Fraction of a processor core that this entry may use.
+        started: Monotonic time of this entry's start, in seconds.
+        is_alone: Whether coordination is off, so that each entry decides independently.
+        is_asked: Returns whether other entries request slots of a service from this one.
+
+    Attributes:
+        is_leaving: Whether this entry is shutting down, so that it no longer coordinates.
     """
 
     def __init__(
@@ -75,11 +79,11 @@
         self.is_leaving = False
 
     def suspect(self, address: Address, now: float) -> None:
-        """Ask an entry nothing for a while: it did not answer."""
+        """Exclude an entry that did not reply from the selection for a while."""
         self._suspects[address] = now + SUSPECT_S
 
     def of(self, service: str, now: float) -> Address | None:
-        """Return the entry to ask; ``None`` if this one gives out the places itself."""
+        """Return the coordinator of a service; ``None`` if it is this entry."""
         if self._is_alone:
             return None
         rows = [row for row in self._peers.fresh(now) if self._may_coordinate(row, now)]
@@ -89,21 +93,21 @@
             capacities[self._peers.own] = self._capacity
             ages[self._peers.own] = now - self._started
         mature = [address for address, age_s in ages.items() if age_s >= MATURE_S]
-        found = max(
+        winner = max(
             mature or ages,
             key=lambda address: (_score(service, address, capacities[address]), address.ip),
             default=None,
         )
-        return None if found == self._peers.own else found
+        return None if winner == self._peers.own else winner
 
     def standing(self, service: str, now: float) -> Standing:
-        """Return in which capacity this entry gives out places of a service now."""
+        """Return how this entry assigns the slots of a service now."""
         if self._is_alone:
             return Standing.ALONE
         if self.of(service, now) is not None:
             return Standing.UNSURE if self._is_asked(service) else Standing.ALONE
-        heard = len(self._peers.fresh(now)) + 1
-        if 2 * heard <= self.entries:
+        fresh = len(self._peers.fresh(now)) + 1
+        if 2 * fresh <= self.entries:
             return Standing.UNSURE if self._is_asked(service) else Standing.ALONE
         is_mature = now - self._started >= MATURE_S
         is_sure = is_mature and self.is_counted
@@ -111,29 +115,29 @@
 
     @property
     def is_counted(self) -> bool:
-        """Whether it is known how many entries there are."""
+        """Whether the number of entries is known."""
         return len(self._peers) > 0 or self._peers.is_single
 
     @property
     def entries(self) -> int:
-        """Entries that may be alive, this one included."""
+        """Number of entries that may be running, this one included."""
         return len(self._peers) + 1
 
     @property
     def named(self) -> int:
-        """Entries that may be alive, those included of which only the name is known."""
+        """Number of entries that may be running, including those known by name only."""
         return self.entries + self._peers.unheard
 
     def known(self) -> tuple[str, list[str]]:
-        """Return the names of this entry and of all others that may be alive."""
-        own = self._peers.own.ip
-        return own, [row.digest.address.ip for row in self._peers.rows]
+        """Return the names of this entry and of all others that may be running."""
+        own_name = self._peers.own.ip
+        return own_name, [row.digest.address.ip for row in self._peers.rows]
 
     def _may_coordinate(self, row: PeerRow, now: float) -> bool:
         digest = row.digest
-        suspect_until = self._suspects.get(digest.address, now)
-        knows = bool(digest.revision and digest.fleet_revision)
-        return knows and suspect_until <= now and not digest.leaving
+        excluded_until = self._suspects.get(digest.address, now)
+        is_configured = bool(digest.revision and digest.fleet_revision)
+        return is_configured and excluded_until <= now and not digest.leaving
 
 
 def _age_s(row: PeerRow, now: float) -> float:
@@ -147,5 +151,5 @@
     Entries win in proportion to their capacity (Schindelhauer and Schomaker, "Weighted
     distributed hash tables", 2005).
     """
-    point = (weight(service, f"{address.ip}:{address.port}") + 1) / (2**64 + 1)
-    return -max(capacity, LEAST_CAPACITY) / math.log(point)
+    hash_fraction = (weight(service, f"{address.ip}:{address.port}") + 1) / (2**64 + 1)
+    return -max(capacity, LEAST_CAPACITY) / math.log(hash_fraction)
--- a/dockreach/direct/granting.py
+++ b/dockreach/direct/granting.py
@@ -1,4 +1,7 @@
-"""The giving side of places: other entries' requests among this entry's own."""
+"""Grants slots to other entries, as the coordinator of a service.
+
+The requests of other entries go through the same dispatcher as this entry's own.
+"""
 
 from __future__ import annotations
 
@@ -20,21 +23,22 @@
 )
 
 LEASE_S = 1.0
-"""Time without a state after which an entry's places are given to others, in seconds: four
-states of an entry that only holds places."""
+"""Time without a state after which an entry's slots are granted to others, in seconds: four
+states of an entry that only holds slots."""
 
 
 @dataclass(slots=True)
 class _Asking:
-    """One entry's requests for one service.
+    """One entry that requests slots of one service.
 
     Attributes:
-        number: Of its latest state.
-        heard: Steady time of that state, in seconds.
+        number: Number of its latest state.
+        heard: Monotonic time at which that state was received, in seconds.
         waiting: Jobs that wait in the dispatcher, by number.
-        granted: Jobs with a place, by number.
-        denied: Refusals that are told until a state shows that they were heard.
-        is_owed: Whether an answer is to be sent.
+        granted: Jobs with a slot, by number.
+        denied: Refusals, by number; repeated until a state no longer contains the job.
+        wanted: Numbers of the jobs that wait according to the latest state.
+        is_owed: Whether a reply is to be sent.
     """
 
     address: Address
@@ -49,13 +53,16 @@
 
 
 class Granter:
-    """Gives places to other entries' requests.
+    """Grants slots to other entries' requests, under leases that their states renew.
 
     Args:
         own: This entry's address.
         dispatcher: Decides on all requests, this entry's own and others'.
-        endpoints: Where jobs can be placed.
+        endpoints: The endpoints that have slots.
         route_of: Returns a route by its name; ``None`` if it is not known.
+
+    Attributes:
+        grants: Number of slots granted since the start.
     """
 
     def __init__(
@@ -77,171 +84,179 @@
         return len(self._asking)
 
     def is_asked(self, service: str) -> bool:
-        """Return whether other entries have their places of a service from this one."""
-        return any(asked == service for _, asked in self._asking)
+        """Return whether other entries request slots of a service from this one."""
+        return any(client_service == service for _, client_service in self._asking)
 
     def asks_here(self, address: Address, service: str) -> bool:
-        """Return whether an entry has its places of a service from this one."""
+        """Return whether an entry requests slots of a service from this one."""
         return (address, service) in self._asking
 
     def take(self, state: PlacingState, now: float) -> bool:
-        """Take in what an entry waits for and holds; return whether that is news."""
+        """Handle what an entry waits for and holds; return whether the state was new."""
         key = (state.address, state.service)
-        asking = self._asking.get(key)
-        if asking is not None and asking.incarnation != state.incarnation:
-            self._forget(key, asking)
-            asking = None
-        if asking is None:
+        client = self._asking.get(key)
+        if client is not None and client.incarnation != state.incarnation:
+            self._forget(key, client)
+            client = None
+        if client is None:
             if not state.waiting and not state.held:
                 return False
             for send in state.sends:
                 self._endpoints.note_send(send.endpoint, now - send.age_s)
-            asking = _Asking(state.address, state.incarnation)
-            self._asking[key] = asking
-        if state.number <= asking.number:
+            client = _Asking(state.address, state.incarnation)
+            self._asking[key] = client
+        if state.number <= client.number:
             return False
-        asking.number = state.number
-        asking.heard = now
+        client.number = state.number
+        client.heard = now
         for sample in state.samples:
             self._endpoints.learn(sample, now)
-        self._take_held(asking, state, now)
-        self._take_waiting(asking, state, now)
-        if not asking.waiting and not asking.granted and not asking.wanted:
-            self._forget(key, asking)
+        self._take_held(client, state, now)
+        self._take_waiting(client, state, now)
+        if not client.waiting and not client.granted and not client.wanted:
+            self._forget(key, client)
         return True
 
-    def _take_held(self, asking: _Asking, state: PlacingState, now: float) -> None:
+    def _take_held(self, client: _Asking, state: PlacingState, now: float) -> None:
         held = {job.number: job for job in state.held}
         waiting = {job.number for job in state.waiting}
-        for number, job in list(asking.granted.items()):
-            told = held.get(number)
-            if told is not None:
-                _note_read(job, told, now)
+        for number, job in list(client.granted.items()):
+            held_job = held.get(number)
+            if held_job is not None:
+                _note_read(job, held_job, now)
             elif number not in waiting:
-                self._end(asking.granted.pop(number))
-        for number, told in held.items():
-            if number not in asking.granted:
-                self._adopt(asking, told, state.service, now)
-
-    def _adopt(self, asking: _Asking, told: HeldJob, service: str, now: float) -> None:
-        """Count a place that another entry gave, or the asking one took by itself."""
-        waited = asking.waiting.pop(told.number, None)
-        if waited is not None:
-            self._end(waited)
-        row = self._endpoints.get(told.endpoint)
+                self._end(client.granted.pop(number))
+        for number, held_job in held.items():
+            if number not in client.granted:
+                self._adopt(client, held_job, state.service, now)
+
+    def _adopt(self, client: _Asking, held_job: HeldJob, service: str, now: float) -> None:
+        """Count a slot that was granted elsewhere, or that the client acquired itself."""
+        waiting = client.waiting.pop(held_job.number, None)
+        if waiting is not None:
+            self._end(waiting)
+        row = self._endpoints.get(held_job.endpoint)
         if row is None:
             return
         job = Job.of_peer(service, arrived=now)
         job.take_place(row, read_ahead=0, met_place=False)
-        asking.granted[told.number] = job
-
-    def _take_waiting(self, asking: _Asking, state: PlacingState, now: float) -> None:
-        wanted = {job.number: job for job in state.waiting}
-        asking.wanted = set(wanted)
-        asking.is_owed = bool(wanted)
-        for number in asking.denied.keys() - wanted.keys():
-            del asking.denied[number]
-        for number in asking.waiting.keys() - wanted.keys():
-            self._end(asking.waiting.pop(number))
-        for number, told in wanted.items():
-            granted = asking.granted.get(number)
-            if granted is not None and _declines(told, granted):
-                self._end(asking.granted.pop(number))
+        client.granted[held_job.number] = job
+
+    def _take_waiting(self, client: _Asking, state: PlacingState, now: float) -> None:
+        requested = {job.number: job for job in state.waiting}
+        client.wanted = set(requested)
+        client.is_owed = bool(requested)
+        for number in client.denied.keys() - requested.keys():
+            del client.denied[number]
+        for number in client.waiting.keys() - requested.keys():
+            self._end(client.waiting.pop(number))
+        for number, waiting_job in requested.items():
+            granted = client.granted.get(number)
+            if granted is not None and _declines(waiting_job, granted):
+                self._end(client.granted.pop(number))
                 granted = None
-            if number in asking.waiting:
-                asking.waiting[number].held_until = _held_until(told, now)
-            elif granted is None and number not in asking.denied:
-                self._submit(asking, told, state.service, now)
+            if number in client.waiting:
+                client.waiting[number].held_until = _held_until(waiting_job, now)
+            elif granted is None and number not in client.denied:
+                self._submit(client, waiting_job, state.service, now)
 
-    def _submit(self, asking: _Asking, told: WaitingJob, service: str, now: float) -> None:
-        route = self._route_of(told.route)
+    def _submit(
+        self, client: _Asking, waiting_job: WaitingJob, service: str, now: float
+    ) -> None:
+        route = self._route_of(waiting_job.route)
         if route is None:
-            # The configuration is older here: the asking entry places it itself, as no
-            # answer comes.
-            asking.is_owed = False
+            # The configuration is older here. Without a reply the client acquires a slot
+            # itself.
+            client.is_owed = False
             return
         job = Job(
-            rid=f"{asking.address.ip}/{told.number}",
+            rid=f"{client.address.ip}/{waiting_job.number}",
             route=route,
             service=service,
-            rank=told.rank,
-            prompt_tokens=told.prompt_tokens,
-            events=told.events,
-            prefix=told.prefix,
-            arrived=now - told.arrived_s,
-            give_up=now + told.give_up_s,
-            ends=now + told.ends_s,
-            tried_at=now - told.tried_s,
-            was_weighed=told.was_weighed,
-            tried=set(told.tried),
-            halls=None if told.halls is None else frozenset(told.halls),
-            held_until=_held_until(told, now),
-            number=told.number,
+            rank=waiting_job.rank,
+            prompt_tokens=waiting_job.prompt_tokens,
+            events=waiting_job.events,
+            prefix=waiting_job.prefix,
+            arrived=now - waiting_job.arrived_s,
+            give_up=now + waiting_job.give_up_s,
+            ends=now + waiting_job.ends_s,
+            tried_at=now - waiting_job.tried_s,
+            was_weighed=waiting_job.was_weighed,
+            tried=set(waiting_job.tried),
+            halls=None if waiting_job.halls is None else frozenset(waiting_job.halls),
+            held_until=_held_until(waiting_job, now),
+            number=waiting_job.number,
             for_peer=True,
         )
-        asking.waiting[told.number] = job
-        self._askers_of[id(job)] = (asking, told.number)
+        client.waiting[waiting_job.number] = job
+        self._askers_of[id(job)] = (client, waiting_job.number)
         self._dispatcher.submit(job)
 
     def decide(self, decision: Decision) -> bool:
-        """Note a decision of the dispatcher; return whether it is on a peer's job."""
-        found = self._askers_of.pop(id(decision.job), None)
-        if found is None:
+        """Record a decision of the dispatcher; return whether it is on a client's job."""
+        owner = self._askers_of.pop(id(decision.job), None)
+        if owner is None:
             return False
-        asking, number = found
-        asking.waiting.pop(number, None)
-        asking.is_owed = True
+        client, number = owner
+        client.waiting.pop(number, None)
+        client.is_owed = True
         if isinstance(decision, Placed):
-            asking.granted[number] = decision.job
+            client.granted[number] = decision.job
             self.grants += 1
         else:
-            asking.denied[number] = _denial(number, decision)
+            client.denied[number] = _denial(number, decision)
         return True
 
     def answers(self) -> list[tuple[Address, PlacingAnswer]]:
-        """Return what is to be told now, and to whom."""
-        found = []
-        for (address, service), asking in self._asking.items():
-            if asking.is_owed:
-                asking.is_owed = False
-                found.append((address, self._answer(asking, service)))
-        return found
-
-    def _answer(self, asking: _Asking, service: str) -> PlacingAnswer:
+        """Return the replies that are to be sent now, with their recipients."""
+        replies = []
+        for (address, service), client in self._asking.items():
+            if client.is_owed:
+                client.is_owed = False
+                replies.append((address, self._answer(client, service)))
+        return replies
+
+    def _answer(self, client: _Asking, service: str) -> PlacingAnswer:
         return PlacingAnswer(
             address=self._own,
-            incarnation=asking.incarnation,
-            number=asking.number,
+            incarnation=client.incarnation,
+            number=client.number,
             service=service,
             grants=[
-                _grant(number, asking.granted[number])
-                for number in asking.granted.keys() & asking.wanted
+                _grant(number, client.granted[number])
+                for number in client.granted.keys() & client.wanted
             ],
-            denials=list(asking.denied.values()),
+            denials=list(client.denied.values()),
         )
 
     def expire(self, now: float) -> bool:
-        """Take back what silent entries hold; return whether there were any."""
-        gone = [key for key, asking in self._asking.items() if now - asking.heard > LEASE_S]
-        for key in gone:
+        """Release the slots of clients whose leases have expired.
+
+        Returns:
+            Whether there were any.
+        """
+        expired = [
+            key for key, client in self._asking.items() if now - client.heard > LEASE_S
+        ]
+        for key in expired:
             self._forget(key, self._asking[key])
-        return bool(gone)
+        return bool(expired)
 
-    def _forget(self, key: tuple[Address, str], asking: _Asking) -> None:
-        for job in [*asking.waiting.values(), *asking.granted.values()]:
+    def _forget(self, key: tuple[Address, str], client: _Asking) -> None:
+        for job in [*client.waiting.values(), *client.granted.values()]:
             self._end(job)
         del self._asking[key]
 
     def _end(self, job: Job) -> None:
-        """Take a job off the dispatcher, and give its place back if it has one."""
+        """Remove a job from the dispatcher, and release its slot if it has one."""
         self._askers_of.pop(id(job), None)
         self._dispatcher.withdraw(job)
         self._dispatcher.release(job)
 
 
-def _note_read(job: Job, told: HeldJob, now: float) -> None:
-    """Note that an endpoint has read a job's prompt, which it then keeps for a while."""
-    if told.unread or not job.reading:
+def _note_read(job: Job, held_job: HeldJob, now: float) -> None:
+    """Record the end of a job's prefill, after which the endpoint caches its prompt."""
+    if held_job.unread or not job.reading:
         return
     row = job.endpoint
     job.end_reading()
@@ -250,14 +265,14 @@
             row.keep_prefix(part, now)
 
 
-def _declines(told: WaitingJob, granted: Job) -> bool:
-    """Return whether an entry has said that it does not use the place that it was given."""
+def _declines(waiting_job: WaitingJob, granted: Job) -> bool:
+    """Return whether a client reports that it does not use the slot that it was granted."""
     row = granted.endpoint
-    return row is not None and (row.id in told.tried or row.id in told.holds)
+    return row is not None and (row.id in waiting_job.tried or row.id in waiting_job.holds)
 
 
-def _held_until(told: WaitingJob, now: float) -> dict[str, float]:
-    return {endpoint: now + seconds for endpoint, seconds in told.holds.items()}
+def _held_until(waiting_job: WaitingJob, now: float) -> dict[str, float]:
+    return {endpoint: now + seconds for endpoint, seconds in waiting_job.holds.items()}
 
 
 def _grant(number: int, job: Job) -> Grant:
