--- a/dockreach/direct/cold.py
+++ b/dockreach/direct/cold.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass, field
 
 WINDOW_S = 1.05
-"""Window over which sends are counted, in seconds: the second over which the platform counts
-them, plus the time that a grant may be in transit to its entry."""
+"""Window over which sends are counted, in seconds: the second over which the platform
+counts them, plus the time for which a grant may be in transit to its entry."""
 
 ALONE_WINDOW_S = 1.0
 """The same for entries that decide independently, which send at once."""
@@ -28,8 +28,8 @@
 the coordinator stay below the bound together."""
 
 ALONE_PART = 0.1
-"""Fraction of the bound that all entries deciding independently use together for an endpoint
-known to be cold."""
+"""Fraction of the bound that all entries deciding independently use together for an
+endpoint known to be cold."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -121,7 +121,9 @@
 
 
 def most_cold(per_s: float, bound: float) -> int:
-    """Return the most slots that a coordinator grants in `SEND_WINDOW_S` at a cold endpoint.
+    """Return the most requests that a coordinator lets a cold endpoint have per window.
+
+    The window is `SEND_WINDOW_S`.
 
     Args:
         per_s: Requests a second that the endpoint can sustain.
@@ -131,5 +133,8 @@
 
 
 def most_alone(bound: float) -> int:
-    """Return how many independent entries may each send a cold endpoint a request a second."""
+    """Return how many entries may each send a cold endpoint one request a second.
+
+    They decide independently.
+    """
     return max(math.floor(ALONE_PART * bound), 1)
--- a/dockreach/direct/coordinators.py
+++ b/dockreach/direct/coordinators.py
@@ -106,8 +106,8 @@
             return Standing.ALONE
         if self.of(service, now) is not None:
             return Standing.UNSURE if self._is_asked(service) else Standing.ALONE
-        fresh = len(self._peers.fresh(now)) + 1
-        if 2 * fresh <= self.entries:
+        fresh_entries = len(self._peers.fresh(now)) + 1
+        if 2 * fresh_entries <= self.entries:
             return Standing.UNSURE if self._is_asked(service) else Standing.ALONE
         is_mature = now - self._started >= MATURE_S
         is_sure = is_mature and self.is_counted
--- a/dockreach/direct/first_tries.py
+++ b/dockreach/direct/first_tries.py
@@ -1,4 +1,4 @@
-"""When a caller tried first, told from how long it still waits."""
+"""Estimates when a caller made its first attempt, from its remaining deadline."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 from collections import deque
 
 REMEMBERED = 64
-"""Requests of a route whose deadlines are remembered: a second or two of a busy route."""
+"""Number of recent deadlines kept per route: those of a second or two on a busy route."""
 
 USUAL_RANK = 0.9
-"""Rank, among remembered deadlines in rising order, of the one that first tries have. Nine
-tenths of a route's requests may be callers that came back before it is misjudged."""
+"""Quantile of the recent deadlines that is taken for the deadline of first attempts. It is
+misjudged only once more than nine tenths of a route's requests are retries."""
 
 SURE_S = 0.2
-"""A deadline that is shorter than usual by more than this is a later try's, in seconds:
-the least time after which callers are told to come back is 0.25 s."""
+"""A deadline that is shorter than usual by more than this belongs to a retry, in seconds:
+the smallest Retry-After is 0.25 s."""
 
 
 class FirstTries:
-    """Remembers the deadlines of each route's latest requests.
+    """Estimates first attempts from the deadlines of each route's recent requests.
 
-    Callers hand down the time that they have left, so that who comes back has less of it
-    than who comes first.
+    Callers send the time that they have left, so that a retry has less time left than a
+    first attempt.
     """
 
     def __init__(self) -> None:
@@ -30,19 +30,20 @@
         self._sorted: dict[str, list[float]] = {}
 
     def tried_s(self, route: str, deadline_s: float | None) -> float:
-        """Return how long ago a request's caller tried first; 0 if this is its first try.
+        """Return the time since a caller's first attempt, in seconds; 0 if this is it.
 
         Args:
             route: The request's route.
-            deadline_s: How long its caller still waits, in seconds; ``None`` if untold.
+            deadline_s: Time left until the caller's deadline, in seconds; ``None`` if the
+                caller did not send it.
         """
         if deadline_s is None:
             return 0.0
         self._remember(route, deadline_s)
-        ranked = self._sorted[route]
-        usual_s = ranked[math.ceil(USUAL_RANK * (len(ranked) - 1))]
-        gone_s = usual_s - deadline_s
-        return gone_s if gone_s > SURE_S else 0.0
+        ascending = self._sorted[route]
+        usual_s = ascending[math.ceil(USUAL_RANK * (len(ascending) - 1))]
+        age_s = usual_s - deadline_s
+        return age_s if age_s > SURE_S else 0.0
 
     def keep_only(self, routes: set[str]) -> None:
         """Forget routes that are no longer declared."""
@@ -51,9 +52,9 @@
             del self._sorted[route]
 
     def _remember(self, route: str, deadline_s: float) -> None:
-        latest = self._latest.setdefault(route, deque())
-        ranked = self._sorted.setdefault(route, [])
-        if len(latest) == REMEMBERED:
-            ranked.remove(latest.popleft())
-        latest.append(deadline_s)
-        insort(ranked, deadline_s)
+        recent = self._latest.setdefault(route, deque())
+        ascending = self._sorted.setdefault(route, [])
+        if len(recent) == REMEMBERED:
+            ascending.remove(recent.popleft())
+        recent.append(deadline_s)
+        insort(ascending, deadline_s)
--- a/dockreach/direct/jobs.py
+++ b/dockreach/direct/jobs.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a place, and what can be decided about them."""
+"""Requests that wait for a slot, and the decisions on them."""
 
 from __future__ import annotations
 
@@ -12,17 +12,19 @@
 from .pressure import Rank
 
 PATIENCE = 1.5
-"""How long a stream waits for a place, in objectives. Callers give a stream up after four
-objectives without an event."""
+"""How long a stream may wait for a slot, in multiples of its route's objective. Callers
+abandon a stream after four objectives without an event."""
 
 PLAIN_PATIENCE = 1.0
-"""How long a plain request waits for a place, in objectives."""
+"""How long a plain request may wait for a slot, in multiples of its route's objective."""
 
 RETRY_AFTER_S = 0.3
-"""Shortest time after which a refused caller is told to come back, in seconds."""
+"""Lower bound of Retry-After for callers whose requests waited and were refused, in
+seconds."""
 
 DEADLINE_PART = 0.5
-"""Part of the time that the caller has left up to which a request waits for a place."""
+"""Largest fraction of the time left until the caller's deadline that a request may spend
+waiting for a slot."""
 
 
 _UNKNOWN_ROUTE = Route(
@@ -45,26 +47,31 @@
 class Job:
     """A request that is to be sent to an endpoint.
 
+    All times are monotonic, in seconds.
+
     Attributes:
         rank: Order among waiting jobs; the lowest goes first.
-        arrived: Steady time at which the request was whole, in seconds.
-        give_up: Steady time at which it is refused if it still waits.
-        events: Events that the answer is likely to have.
-        ends: Steady time at which the caller or the route gives it up, in seconds.
-        tried_at: Steady time of its caller's first try, in seconds.
-        was_weighed: Whether it was decided that it may wait.
+        arrived: Time at which the whole request had been received.
+        give_up: Time at which it is refused if it still waits.
+        events: Number of events that its response is likely to have.
+        ends: Time at which the caller or the route's timeout abandons it.
+        tried_at: Time of its caller's first attempt, as estimated.
+        was_weighed: Whether it was admitted to the queue, so that it is no longer rejected
+            early.
         tried: Endpoints that it was sent to before.
-        endpoint: Where it was placed; ``None`` while it waits.
-        reading: Prompt tokens that the endpoint has to read for it; 0 once they are read.
-        read_ahead: Prompt tokens that the endpoint had still to read before them.
-        met_place: Whether the endpoint had a place free for it, as far as was known.
-        number: Of the job at its entry, where places are asked for; 0 otherwise.
+        endpoint: The endpoint of its slot; ``None`` while it waits.
+        reading: Prompt tokens that the endpoint has to prefill for it; 0 after the prefill.
+        read_ahead: Prompt tokens that the endpoint had to prefill before these.
+        met_place: Whether the endpoint had a free slot for it, as far as was known.
+        number: Number of the job at its entry, used to request slots; 0 otherwise.
         for_peer: Whether it is another entry's.
-        granted_by: IP number of the entry that gave the place; empty if this one did.
-        halls: Data halls in which it may be run; ``None`` for all.
-        fingerprint: The same for each try of its request; empty if it is another entry's.
-        held_until: Endpoints at which the entry that asks uses no places, and until when,
-            in steady seconds; empty if it is this entry's own.
+        granted_by: IP number of the entry that granted the slot; empty if this entry
+            assigned it.
+        halls: Data halls in which it may run; ``None`` for all.
+        fingerprint: The same for each attempt of its request; empty if it is another
+            entry's.
+        held_until: Endpoints at which the requesting entry declines slots, each with the
+            time until which it does; empty if the job is this entry's own.
     """
 
     rid: str
@@ -93,7 +100,7 @@
 
     @classmethod
     def of_peer(cls, service: str, *, arrived: float) -> Job:
-        """Return another entry's job of which only its place is known."""
+        """Return a placeholder for another entry's job of which only the slot is known."""
         return cls(
             rid="",
             route=_UNKNOWN_ROUTE,
@@ -108,12 +115,12 @@
         )
 
     def take_place(self, row: EndpointRow, *, read_ahead: int, met_place: bool) -> None:
-        """Take a place at an endpoint.
+        """Acquire a slot of an endpoint.
 
         Args:
             row: The endpoint.
-            read_ahead: Prompt tokens that it has to read before this job's own.
-            met_place: Whether the place was free, as far as was known.
+            read_ahead: Prompt tokens that it has to prefill before this job's own.
+            met_place: Whether a slot was free, as far as was known.
         """
         self.endpoint = row
         self.read_ahead = read_ahead
@@ -121,13 +128,13 @@
         row.count(1, for_peer=self.for_peer)
 
     def start_reading(self, tokens: int) -> None:
-        """Note that the endpoint has to read prompt tokens for this job."""
+        """Add prompt tokens that the endpoint has to prefill for this job."""
         if self.endpoint is not None:
             self.reading = tokens
             self.endpoint.reading += tokens
 
     def leave_place(self) -> None:
-        """Give the place back; nothing happens without one."""
+        """Release the slot, if the job holds one."""
         row = self.endpoint
         if row is None:
             return
@@ -137,30 +144,30 @@
 
     @property
     def first_arrived(self) -> float:
-        """When its caller tried first, in seconds."""
+        """Monotonic time of its caller's first attempt, in seconds."""
         return min(self.arrived, self.tried_at)
 
     @property
     def has_returned(self) -> bool:
-        """Whether its caller had tried before."""
+        """Whether its caller is known to have attempted the request before."""
         return self.tried_at < self.arrived
 
     def end_reading(self) -> None:
-        """Note that its prompt is read: its first event has come, or it has ended."""
+        """End the prefill: the first event has been received, or the job has ended."""
         if self.endpoint is not None:
             self.endpoint.reading -= self.reading
             self.reading = 0
 
 
 class Placed(NamedTuple):
-    """A job that may be sent now."""
+    """A job that got a slot and may be sent now."""
 
     job: Job
     endpoint: EndpointRow
 
 
 class Refused(NamedTuple):
-    """A job that found no place in time."""
+    """A job that got no slot in time, or that was rejected early."""
 
     job: Job
     refusal: Refusal
@@ -169,12 +176,12 @@
 Decision = Placed | Refused
 
 
-def patience_s(route: Route, left_s: float) -> float:
-    """Return how long a request may wait for a place, in seconds.
+def patience_s(route: Route, time_left_s: float) -> float:
+    """Return how long a request may wait for a slot, in seconds.
 
     Args:
         route: The request's route.
-        left_s: Time that the caller still waits, in seconds.
+        time_left_s: Time until the caller's deadline, in seconds.
     """
     objectives = PATIENCE if route.is_stream else PLAIN_PATIENCE
-    return min(objectives * route.objective_s, left_s * DEADLINE_PART)
+    return min(objectives * route.objective_s, time_left_s * DEADLINE_PART)
--- a/dockreach/direct/placing_messages.py
+++ b/dockreach/direct/placing_messages.py
@@ -1,7 +1,7 @@
-"""The datagrams between an entry and the one that gives out a service's places.
+"""The datagrams between an entry and the coordinator that grants it slots of a service.
 
-Each state replaces the one before it, and decisions are told again until a state shows that
-they were heard, so that a lost or late datagram costs time and nothing else.
+Each state replaces the one before it, and the coordinator repeats its decisions until a
+state shows that they were received, so that a lost or late datagram only costs time.
 """
 
 from __future__ import annotations
@@ -14,34 +14,35 @@
 
 
 class SampleKind(enum.IntEnum):
-    """What was measured of an endpoint."""
+    """What was measured of an endpoint, or observed at it."""
 
     FIRST = 0
-    """Time to a first event, for so many prompt tokens."""
+    """Time to a stream's first event, for a number of prefilled prompt tokens."""
 
     GAP = 1
-    """Mean time between events."""
+    """Mean time between events of a stream."""
 
     PLAIN = 2
-    """Time of a plain request."""
+    """Duration of a plain request."""
 
     FAILED = 3
-    """An attempt failed."""
+    """An upstream attempt failed."""
 
     GONE = 4
-    """Another endpoint answers at its address."""
+    """Another endpoint responds at its address."""
 
     OUT_OF_REACH = 5
-    """No connection came up."""
+    """No connection could be established."""
 
 
 class Sample(msgspec.Struct, array_like=True, frozen=True):
     """One measurement of an endpoint.
 
     Attributes:
-        tokens: Prompt tokens that were read, for a time to a first event.
-        seconds: The time; 0 for a failure.
-        born: Start of the life at which it was met, in milliseconds; 0 if it is not told.
+        tokens: Prompt tokens that were prefilled, for a time to a first event.
+        seconds: The measured time; 0 for a failure.
+        born: Start time of the endpoint's incarnation, in Unix milliseconds; 0 if the
+            platform doesn't report it.
     """
 
     endpoint: str
@@ -52,20 +53,21 @@
 
 
 class WaitingJob(msgspec.Struct, array_like=True):
-    """A request that waits for a place. Times are relative to the sending of the state.
+    """A request that waits for a slot. Times are relative to the sending of the state.
 
     Attributes:
-        number: Of the job at its entry, never used again.
+        number: Number of the job at its entry, never reused.
         rank: Order among waiting jobs; the lowest goes first.
-        events: Events that the answer is likely to have.
-        arrived_s: How long ago it arrived, in seconds.
-        tried_s: How long ago its caller tried first, in seconds.
-        give_up_s: After how long it is refused if it still waits, in seconds.
-        ends_s: After how long the caller or the route gives it up, in seconds.
-        was_weighed: Whether it was decided that it may wait.
-        tried: Endpoints that it was sent to before, or that cannot be used.
-        halls: Data halls in which it may be run; ``None`` for all.
-        holds: For how long its entry uses no places at some endpoints, in seconds.
+        events: Number of events that its response is likely to have.
+        arrived_s: Time since it arrived, in seconds.
+        tried_s: Time since its caller's first attempt, in seconds.
+        give_up_s: Time until it is refused if it still waits, in seconds.
+        ends_s: Time until the caller or the route's timeout abandons it, in seconds.
+        was_weighed: Whether it was admitted to the queue before.
+        tried: Endpoints that it was sent to before, or that it cannot use.
+        halls: Data halls in which it may run; ``None`` for all.
+        holds: For how long its entry declines slots of some endpoints, in seconds, by
+            endpoint.
     """
 
     number: int
@@ -85,10 +87,10 @@
 
 
 class HeldJob(msgspec.Struct, array_like=True):
-    """A request that has a place.
+    """A request that holds a slot.
 
     Attributes:
-        unread: Prompt tokens that the endpoint has still to read for it.
+        unread: Prompt tokens that the endpoint still has to prefill for it.
     """
 
     number: int
@@ -97,10 +99,10 @@
 
 
 class LateSend(msgspec.Struct, array_like=True):
-    """A request that was sent to an endpoint a moment ago.
+    """A request that was recently sent to an endpoint.
 
     Attributes:
-        age_s: How long before the state it was sent, in seconds.
+        age_s: Time from sending it until sending the state, in seconds.
     """
 
     endpoint: str
@@ -108,14 +110,14 @@
 
 
 class PlacingState(msgspec.Struct, array_like=True, tag=2):
-    """All that an entry's requests for one service wait for and hold.
+    """All jobs of an entry that wait for slots of one service or hold them.
 
     Attributes:
         incarnation: A random number, drawn at each start of the sender.
-        number: Rises with each state.
+        number: Number of the state; rises with each state.
         samples: What the sender measured since its last state.
-        sends: What the sender's requests were sent to lately, for an entry that it asks
-            for the first time.
+        sends: Recent requests of the sender to endpoints, for a coordinator that has not
+            replied to it yet.
     """
 
     address: Address
@@ -129,13 +131,13 @@
 
 
 class Grant(msgspec.Struct, array_like=True):
-    """A place.
+    """The grant of a slot to a job.
 
     Attributes:
-        number: Of the job at its entry.
-        reading: Prompt tokens that the endpoint has to read for the job.
-        read_ahead: Prompt tokens that it has to read before those.
-        met_place: Whether the place was free, as far as was known.
+        number: Number of the job at its entry.
+        reading: Prompt tokens that the endpoint has to prefill for the job.
+        read_ahead: Prompt tokens that it has to prefill before those.
+        met_place: Whether a slot was free, as far as was known.
     """
 
     number: int
@@ -146,10 +148,10 @@
 
 
 class Denial(msgspec.Struct, array_like=True):
-    """A refusal.
+    """The refusal of a job.
 
     Attributes:
-        number: Of the job at its entry.
+        number: Number of the job at its entry.
         reason: Value of a `Reason`.
         retry_after_s: Seconds after which a retry is useful; ``None`` if it is not.
     """
@@ -161,12 +163,12 @@
 
 
 class PlacingAnswer(msgspec.Struct, array_like=True, tag=3):
-    """What was decided of the jobs of a state, and that the others wait.
+    """The decisions on the jobs of a state. Jobs without a decision keep waiting.
 
     Attributes:
-        address: The sender's.
-        incarnation: Of the entry that sent the state.
-        number: Of its latest state that was heard.
+        address: Address of the coordinator, which sends the reply.
+        incarnation: Incarnation of the entry that sent the state.
+        number: Number of that entry's latest state.
     """
 
     address: Address
--- a/dockreach/direct/pressure.py
+++ b/dockreach/direct/pressure.py
@@ -1,4 +1,7 @@
-"""How fast each tier of a service gets places, and since when its jobs have had to wait."""
+"""Measures the pressure on each tier of a service.
+
+That is the rate at which its jobs get slots, and since when all of them have had to wait.
+"""
 
 from __future__ import annotations
 
@@ -6,25 +9,25 @@
 from dataclasses import dataclass, field
 
 Rank = tuple[int, ...]
-"""Order of tiers; the lowest goes first."""
+"""Rank of a tier in the queue; the lowest goes first."""
 
 RATE_S = 1.0
-"""Span over which places given are counted, in seconds: a chat holds a place for about as
-long, so that each of a few engines has given some."""
+"""Window over which slot assignments are counted, in seconds: a chat holds a slot for about
+that long, so that each of a few engines has had some assignments."""
 
 AT_ONCE_S = 0.05
-"""A job that waited no longer met no pressure, in seconds: what is known of other entries
-is about as old."""
+"""Waiting time, in seconds, up to which a job counts as not having waited: what is known of
+other entries is about that old."""
 
 
 @dataclass(slots=True)
 class _Tier:
-    """One tier of a service.
+    """Recent jobs of one tier of a service. Times are monotonic, in seconds.
 
     Attributes:
-        came: Steady times at which jobs came lately, in seconds.
-        placed: Steady times at which jobs got places lately, in seconds.
-        since: Steady time since which every job has had to wait; ``None`` if none has.
+        came: Times at which jobs arrived in the last window.
+        placed: Times at which jobs got slots in the last window.
+        since: Time since which every job has had to wait; ``None`` if the last one did not.
     """
 
     came: deque[float] = field(default_factory=deque)
@@ -33,25 +36,25 @@
 
 
 class Pressure:
-    """What this entry saw lately, by service and tier."""
+    """Recent arrivals and slot assignments, by service and tier."""
 
     def __init__(self) -> None:
         self._tiers: dict[str, dict[Rank, _Tier]] = {}
 
     def note_arrival(self, service: str, rank: Rank, now: float) -> None:
-        """Note that a job came."""
+        """Record the arrival of a job."""
         tier = self._tier(service, rank)
         tier.came.append(now)
         _forget(tier, now)
 
     def note_placed(self, service: str, rank: Rank, waited_s: float, now: float) -> None:
-        """Note that a job got a place.
+        """Record that a job got a slot.
 
         Args:
             service: The job's service.
             rank: The job's tier.
             waited_s: How long it waited, in seconds.
-            now: Steady time, in seconds.
+            now: Monotonic time, in seconds.
         """
         tier = self._tier(service, rank)
         tier.placed.append(now)
@@ -64,28 +67,30 @@
     def places_within(
         self, service: str, rank: Rank, span_s: float, now: float
     ) -> float | None:
-        """Return how many places a tier is likely to get in a span from now on.
+        """Return how many slots a tier is expected to get in the next seconds.
 
         Args:
             service: The service.
-            rank: The tier. Higher ones take what they ask for.
-            span_s: Length of the span, in seconds.
-            now: Steady time, in seconds.
+            rank: The tier. Higher tiers are expected to get a slot for each of their jobs.
+            span_s: Length of the time ahead, in seconds.
+            now: Monotonic time, in seconds.
 
         Returns:
-            A mean; ``None`` if nothing is known, since no job got a place lately.
+            The expected number; ``None`` if no job got a slot in the last window.
         """
         tiers = self._tiers.get(service, {})
         for tier in tiers.values():
             _forget(tier, now)
-        placed = sum(len(tier.placed) for tier in tiers.values())
-        if not placed:
+        assigned = sum(len(tier.placed) for tier in tiers.values())
+        if not assigned:
             return None
-        higher = sum(len(tier.came) for other, tier in tiers.items() if other < rank)
-        return max(placed - higher, 0) / RATE_S * max(span_s, 0.0)
+        higher_arrivals = sum(
+            len(tier.came) for other, tier in tiers.items() if other < rank
+        )
+        return max(assigned - higher_arrivals, 0) / RATE_S * max(span_s, 0.0)
 
     def lasted_s(self, service: str, rank: Rank, now: float) -> float:
-        """Return since when a tier's jobs have had to wait, in seconds before now."""
+        """Return for how long all jobs of a tier have had to wait, in seconds."""
         since = self._tier(service, rank).since
         return now - since if since is not None else 0.0
 
--- a/dockreach/direct/scheduling.py
+++ b/dockreach/direct/scheduling.py
@@ -1,4 +1,4 @@
-"""Lets greenlets wait for decisions, of this entry and of those that it asks."""
+"""Lets greenlets wait for slots, whether this entry or another one assigns them."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 from .placing_messages import PlacingAnswer, PlacingState
 
 TIMER_S = 0.001
-"""How much later than due a timer is set, in seconds: one that is early looks in vain."""
+"""Added to the delay of a timer, in seconds: one that fires early finds nothing to do."""
 
 LONG_ROUND_S = 0.0005
-"""A round that takes longer is not followed by another one at once, in seconds."""
+"""Duration, in seconds, from which a scheduling round is followed by a pause."""
 
 PAUSE_FACTOR = 3.0
-"""How many times as long as it took a long round is followed by none. With 300 jobs that
-wait a round takes a millisecond, and 700 events a second call for one each: more than a
-core. Those that ask here would take this entry for silent, and several give the same ones.
-"""
+"""Length of the pause after a long round, as a multiple of the round's duration. With 300
+waiting jobs a round takes a millisecond, and 700 events a second each call for a round:
+more than a core can do. The clients of this entry would then find it unresponsive, and
+several entries would assign the same slots."""
 
 
 class _Waiting(NamedTuple):
@@ -39,14 +39,14 @@
 
 
 class Scheduler:
-    """Finds places for this entry's requests, and gives places to others'.
+    """Acquires slots for this entry's requests, and grants slots to other entries'.
 
     Args:
-        dispatcher: Decides on the requests that this entry gives places to.
-        asker: Asks other entries for places.
-        granter: Keeps what other entries ask for.
+        dispatcher: Decides on the requests to which this entry assigns slots.
+        asker: Requests slots from other entries.
+        granter: Holds the slot requests of other entries.
         send: Sends a message to another entry.
-        on_change: Called when requests under way or waiting have changed.
+        on_change: Called when requests in flight or waiting have changed.
     """
 
     def __init__(
@@ -67,9 +67,12 @@
         self._is_planned = False
 
     def place(self, job: Job) -> EndpointRow | Refusal:
-        """Wait until a job has a place, or none in time.
+        """Wait until a job gets a slot or is refused.
 
-        The place must be given back with `release`.
+        The caller must release the slot with `release_slot`.
+
+        Returns:
+            The endpoint of the slot, or the refusal.
         """
         waiter = Waiter()
         self._waiters[id(job)] = _Waiting(job, waiter)
@@ -82,19 +85,19 @@
                 with eventlet.Timeout(_wait_s(job, clock.now()), False):
                     waiter.wait()
                 self.pump()
-            found: EndpointRow | Refusal = waiter.wait()
+            outcome: EndpointRow | Refusal = waiter.wait()
         except BaseException:
-            # The caller left or the time is up: nobody will give the place back.
+            # The caller disconnected, or its time is up: nothing else releases the slot.
             self._dispatcher.withdraw(job)
             self._asker.drop(job)
             self.release(job)
             raise
         finally:
             del self._waiters[id(job)]
-        return found
+        return outcome
 
     def refuse(self, fingerprint: bytes, refusal: Refusal) -> None:
-        """Refuse what waits here of a request; what has a place is left to its try."""
+        """Refuse a request where it waits; if it has a slot, its upstream attempt goes on."""
         for job, waiter in list(self._waiters.values()):
             if job.fingerprint == fingerprint and not waiter.ready():
                 self._dispatcher.withdraw(job)
@@ -102,7 +105,7 @@
                 waiter.send(refusal)
 
     def release(self, job: Job) -> None:
-        """Give a place back."""
+        """Release the slot of a job, if it holds one."""
         if job.endpoint is None:
             return
         self._dispatcher.release(job)
@@ -111,13 +114,13 @@
         self._on_change()
 
     def note_read(self, job: Job) -> None:
-        """Note that an endpoint has read a job's prompt: its first event has come."""
+        """Record the end of a job's prefill, on its first event."""
         job.end_reading()
         self._asker.note_read(job)
         self._send_due(clock.now())
 
     def pump(self) -> None:
-        """Decide what can be decided, now or in a moment, and tell it."""
+        """Run a scheduling round now, or soon if the last one was long."""
         now = clock.now()
         if now < self._next_round:
             self._plan(self._next_round - now)
@@ -128,7 +131,7 @@
             self._next_round = now + (1 + PAUSE_FACTOR) * took_s
 
     def _plan(self, seconds: float) -> None:
-        """Decide after a while what comes until then."""
+        """Schedule a round for all that comes until then, unless one is scheduled."""
         if not self._is_planned:
             self._is_planned = True
             eventlet.spawn_after(seconds, self._run_planned)
@@ -153,7 +156,7 @@
             self._on_change()
 
     def reconsider(self) -> None:
-        """Look whom to ask now, and take back what silent entries hold."""
+        """Select coordinators anew, and release the slots of expired leases."""
         now = clock.now()
         for job in self._asker.reconsider(now):
             self._dispatcher.submit(job)
@@ -161,14 +164,14 @@
         self.pump()
 
     def take_state(self, state: PlacingState) -> None:
-        """Take in what another entry waits for and holds."""
+        """Handle what another entry waits for and holds."""
         if self._granter.take(state, clock.now()):
             self.pump()
 
-    def take_answer(self, answer: PlacingAnswer) -> None:
-        """Take in what another entry decided."""
+    def take_answer(self, reply: PlacingAnswer) -> None:
+        """Handle the decisions of a coordinator."""
         now = clock.now()
-        self._tell_all(self._asker.take(answer, now))
+        self._tell_all(self._asker.take(reply, now))
         self._send_due(now)
 
     def _send_due(self, now: float) -> None:
@@ -176,8 +179,8 @@
             self._send(state, address)
             if state.waiting:
                 eventlet.spawn_after(ANSWER_S + TIMER_S, self.pump)
-        for address, answer in self._granter.answers():
-            self._send(answer, address)
+        for address, reply in self._granter.answers():
+            self._send(reply, address)
 
     def _tell_all(self, decisions: Iterable[Decision]) -> None:
         for decision in decisions:
@@ -196,5 +199,5 @@
 
 
 def _wait_s(job: Job, now: float) -> float:
-    """Return the time to the next moment at which a job may be refused, in seconds."""
+    """Return how long to wait until a job's queue deadline, in seconds."""
     return max(job.give_up - now, TIMER_S)
