--- a/tests/direct/test_dispatching.py
+++ b/tests/direct/test_dispatching.py
@@ -1,4 +1,4 @@
-"""Which request goes where, in which order, and which is refused."""
+"""In which order waiting requests get slots, and which requests are refused."""
 
 from __future__ import annotations
 
@@ -19,186 +19,188 @@
 from .cores import dispatcher, endpoints, job, placed, stream_route
 
 
-def test_a_higher_tier_goes_first_whenever_it_came() -> None:
-    core = dispatcher(endpoints(1))
-    core.submit(job("low", tier=0, arrived=0.0))
-    core.submit(job("other", tier=0, arrived=0.1))
-    core.submit(job("top", tier=-1, arrived=0.2))
-    assert placed(core.pump(0.3)) == ["top"]
+def test_a_higher_tier_goes_first_however_late_it_arrives() -> None:
+    queue = dispatcher(endpoints(1))
+    queue.submit(job("low", tier=0, arrived=0.0))
+    queue.submit(job("other", tier=0, arrived=0.1))
+    queue.submit(job("top", tier=-1, arrived=0.2))
+    assert placed(queue.pump(0.3)) == ["top"]
 
 
-def test_within_a_tier_the_first_goes_first() -> None:
-    core = dispatcher(endpoints(1))
-    core.submit(job("second", arrived=0.2))
-    core.submit(job("first", arrived=0.1))
-    assert placed(core.pump(0.3)) == ["first"]
+def test_within_a_tier_the_earliest_goes_first() -> None:
+    queue = dispatcher(endpoints(1))
+    queue.submit(job("second", arrived=0.2))
+    queue.submit(job("first", arrived=0.1))
+    assert placed(queue.pump(0.3)) == ["first"]
 
 
-def test_a_long_stream_goes_before_a_short_one_that_came_later() -> None:
-    core = dispatcher(endpoints(1))
-    core.submit(job("short", arrived=0.01, events=1.0))
-    core.submit(job("long", arrived=0.0, events=3000.0))
-    assert placed(core.pump(0.4)) == ["long"]
+def test_a_long_stream_goes_before_a_later_short_one() -> None:
+    queue = dispatcher(endpoints(1))
+    queue.submit(job("short", arrived=0.01, events=1.0))
+    queue.submit(job("long", arrived=0.0, events=3000.0))
+    assert placed(queue.pump(0.4)) == ["long"]
 
 
-def test_one_that_can_still_be_in_time_goes_before_one_that_cannot() -> None:
-    core = dispatcher(endpoints(1))
-    core.submit(job("late", arrived=0.0))
-    core.submit(job("hopeful", arrived=0.9))
-    assert placed(core.pump(1.0)) == ["hopeful"]
+def test_a_job_that_can_be_in_time_goes_before_a_late_one() -> None:
+    queue = dispatcher(endpoints(1))
+    queue.submit(job("late", arrived=0.0))
+    queue.submit(job("hopeful", arrived=0.9))
+    assert placed(queue.pump(1.0)) == ["hopeful"]
 
 
-def test_late_ones_are_served_when_nobody_else_waits() -> None:
-    core = dispatcher(endpoints(1))
-    core.submit(job("late", arrived=0.0))
-    assert placed(core.pump(2.0)) == ["late"]
+def test_late_jobs_are_served_when_no_other_job_waits() -> None:
+    queue = dispatcher(endpoints(1))
+    queue.submit(job("late", arrived=0.0))
+    assert placed(queue.pump(2.0)) == ["late"]
 
 
-def test_a_job_that_waited_too_long_is_refused_as_not_run_with_a_time() -> None:
+def test_a_job_is_refused_at_its_queue_deadline_with_a_retry_after() -> None:
     table = endpoints(1)
     table.set_others({"e-0": 1})
-    core = dispatcher(table)
-    core.submit(job("a", give_up=1.0))
-    assert core.pump(0.0) == []
-    assert core.pump(0.9) == []
-    (decision,) = core.pump(1.0)
+    queue = dispatcher(table)
+    queue.submit(job("a", give_up=1.0))
+    assert queue.pump(0.0) == []
+    assert queue.pump(0.9) == []
+    (decision,) = queue.pump(1.0)
     assert isinstance(decision, Refused)
     assert decision.refusal.verdict is Verdict.NOT_RUN
     assert decision.refusal.reason is Reason.SHED
     assert decision.refusal.retry_after_s
-    assert core.waiting() == {}
+    assert queue.waiting() == {}
 
 
-def test_without_endpoints_the_reason_says_so() -> None:
-    core = dispatcher(EndpointTable())
-    core.submit(job("a", give_up=0.0))
-    (decision,) = core.pump(0.1)
+def test_without_endpoints_the_reason_is_no_endpoint() -> None:
+    queue = dispatcher(EndpointTable())
+    queue.submit(job("a", give_up=0.0))
+    (decision,) = queue.pump(0.1)
     assert isinstance(decision, Refused)
     assert decision.refusal.reason is Reason.NO_ENDPOINT
 
 
-def refused(rows: list[Decision]) -> list[Refused]:
-    return [row for row in rows if isinstance(row, Refused)]
+def refused(decisions: list[Decision]) -> list[Refused]:
+    return [decision for decision in decisions if isinstance(decision, Refused)]
 
 
 def busy(slots: int = 1, *, tier: int = 0) -> Dispatcher:
-    """Return a dispatcher whose places were all taken a moment before 5 s."""
-    core = dispatcher(endpoints(slots))
+    """Return a dispatcher whose slots were all assigned a moment before 5 s."""
+    queue = dispatcher(endpoints(slots))
     for number in range(slots):
-        core.submit(job(f"first-{number}", tier=tier, arrived=4.9))
-    assert len(placed(core.pump(4.9))) == slots
-    return core
+        queue.submit(job(f"first-{number}", tier=tier, arrived=4.9))
+    assert len(placed(queue.pump(4.9))) == slots
+    return queue
 
 
-def test_a_stream_that_cannot_be_in_time_is_refused_when_it_comes() -> None:
-    core = busy()
-    core.submit(job("waits", arrived=5.0))
-    core.submit(job("new", arrived=5.0))
-    (decision,) = refused(core.pump(5.0))
+def test_a_stream_that_cannot_be_in_time_is_rejected_early() -> None:
+    queue = busy()
+    queue.submit(job("waits", arrived=5.0))
+    queue.submit(job("new", arrived=5.0))
+    (decision,) = refused(queue.pump(5.0))
     assert decision.job.rid == "new"
     assert decision.refusal.verdict is Verdict.NOT_RUN
     assert decision.refusal.reason is Reason.HOPELESS
 
 
-def test_only_as_many_wait_as_have_a_chance_of_a_place_in_time() -> None:
-    core = busy(10)
+def test_only_jobs_with_a_chance_of_a_slot_in_time_are_admitted() -> None:
+    queue = busy(10)
     for number in range(20):
-        core.submit(job(f"j-{number}", arrived=5.0))
-    # Ten places a second are six within 0.6 s; nine come in one case of ten.
-    assert len(refused(core.pump(5.0))) == 11
-    assert core.waiting() == {"work": 9}
+        queue.submit(job(f"j-{number}", arrived=5.0))
+    # Ten slots a second are an expected six within 0.6 s; nine come in one case of ten.
+    assert len(refused(queue.pump(5.0))) == 11
+    assert queue.waiting() == {"work": 9}
 
 
-def test_who_may_wait_is_not_refused_a_moment_later() -> None:
-    core = busy(10)
-    core.submit(job("waits", arrived=5.0, give_up=9.0))
-    assert core.pump(5.0) == []
-    assert core.pump(6.5) == []
+def test_an_admitted_job_is_not_rejected_early() -> None:
+    queue = busy(10)
+    queue.submit(job("waits", arrived=5.0, give_up=9.0))
+    assert queue.pump(5.0) == []
+    assert queue.pump(6.5) == []
 
 
-def test_places_that_higher_tiers_take_do_not_count() -> None:
-    core = busy(10)
+def test_slots_that_higher_tiers_need_do_not_count() -> None:
+    queue = busy(10)
     for number in range(8):
-        core.submit(job(f"top-{number}", arrived=4.95))
-    core.submit(job("low", tier=2, arrived=5.0))
-    assert [row.job.rid for row in refused(core.pump(5.0))][-1] == "low"
+        queue.submit(job(f"top-{number}", arrived=4.95))
+    queue.submit(job("low", tier=2, arrived=5.0))
+    assert [refusal.job.rid for refusal in refused(queue.pump(5.0))][-1] == "low"
 
 
-def test_no_lower_tier_waits_while_a_higher_one_is_sent_away() -> None:
-    core = busy(10, tier=2)
-    core.submit(job("low", tier=2, arrived=5.0))
-    assert core.pump(5.0) == []
+def test_no_lower_tier_waits_while_a_higher_one_is_rejected_early() -> None:
+    queue = busy(10, tier=2)
+    queue.submit(job("low", tier=2, arrived=5.0))
+    assert queue.pump(5.0) == []
     for number in range(12):
-        core.submit(job(f"top-{number}", arrived=5.1))
-    away = [row.job.rid for row in refused(core.pump(5.1))]
-    assert "low" in away
-    assert len(away) > 1
+        queue.submit(job(f"top-{number}", arrived=5.1))
+    rejected = [refusal.job.rid for refusal in refused(queue.pump(5.1))]
+    assert "low" in rejected
+    assert len(rejected) > 1
 
 
-def test_an_early_refusal_is_spread_and_within_what_callers_wait() -> None:
-    core = busy()
+def test_the_retry_after_of_early_rejections_has_jitter_and_a_bound() -> None:
+    queue = busy()
     for number in range(21):
-        core.submit(job(f"j-{number}", arrived=5.0))
-    times = [row.refusal.retry_after_s for row in refused(core.pump(5.0))]
-    least, most = RETURN_SPREAD
-    assert len(set(times)) == 20
-    assert all(time is not None and least <= time <= most for time in times)
-    core.submit(job("short of time", arrived=5.0, ends=6.0))
-    (decision,) = refused(core.pump(5.0))
+        queue.submit(job(f"j-{number}", arrived=5.0))
+    retry_after_s = [refusal.refusal.retry_after_s for refusal in refused(queue.pump(5.0))]
+    min_s, max_s = RETURN_SPREAD
+    assert len(set(retry_after_s)) == 20
+    assert all(
+        value_s is not None and min_s <= value_s <= max_s for value_s in retry_after_s
+    )
+    queue.submit(job("short of time", arrived=5.0, ends=6.0))
+    (decision,) = refused(queue.pump(5.0))
     assert decision.refusal.retry_after_s == 1.0 * RETURN_PART
 
 
-def test_pressure_that_lasted_long_sends_callers_away_for_longer() -> None:
-    core = dispatcher(endpoints(1, 1))
+def test_longer_lasting_pressure_gives_a_longer_retry_after() -> None:
+    queue = dispatcher(endpoints(1, 1))
     first = job("first", arrived=0.0)
-    core.submit(first)
-    core.submit(job("other", arrived=0.0))
-    core.pump(0.0)
-    core.submit(job("waits", arrived=1.0, give_up=9.0))
-    core.pump(1.0)
-    core.release(first)
-    core.pump(2.0)
-    core.submit(job("waits too", arrived=5.0))
-    core.submit(job("new", arrived=5.0, ends=35.0))
-    (decision,) = refused(core.pump(5.0))
+    queue.submit(first)
+    queue.submit(job("other", arrived=0.0))
+    queue.pump(0.0)
+    queue.submit(job("waits", arrived=1.0, give_up=9.0))
+    queue.pump(1.0)
+    queue.release(first)
+    queue.pump(2.0)
+    queue.submit(job("waits too", arrived=5.0))
+    queue.submit(job("new", arrived=5.0, ends=35.0))
+    (decision,) = refused(queue.pump(5.0))
     assert decision.job.rid == "new"
     assert decision.refusal.retry_after_s is not None
     assert decision.refusal.retry_after_s >= 4.0 * RETURN_SPREAD[0]
 
 
-def test_a_caller_that_came_back_is_not_sent_away_again() -> None:
-    core = busy()
-    core.submit(job("came back", arrived=5.0, tried_at=3.0))
-    assert core.pump(5.0) == []
+def test_a_retry_is_not_rejected_early() -> None:
+    queue = busy()
+    queue.submit(job("came back", arrived=5.0, tried_at=3.0))
+    assert queue.pump(5.0) == []
 
 
-def test_a_request_that_lost_its_endpoint_waits_for_another_one() -> None:
-    core = busy()
-    core.submit(job("waits", arrived=5.0))
+def test_a_request_that_lost_its_endpoint_is_not_rejected_early() -> None:
+    queue = busy()
+    queue.submit(job("waits", arrived=5.0))
     cut = job("cut", arrived=3.0, give_up=7.0)
     cut.tried.add("e-9")
-    core.submit(cut)
+    queue.submit(cut)
     for number in range(3):
-        core.submit(job(f"new-{number}", tier=-1, arrived=5.0))
-    assert "cut" not in [row.job.rid for row in refused(core.pump(5.0))]
-    assert [row.job.rid for row in refused(core.pump(7.0))][-1] == "cut"
+        queue.submit(job(f"new-{number}", tier=-1, arrived=5.0))
+    assert "cut" not in [refusal.job.rid for refusal in refused(queue.pump(5.0))]
+    assert [refusal.job.rid for refusal in refused(queue.pump(7.0))][-1] == "cut"
 
 
-def test_who_can_still_be_in_time_goes_before_who_came_back_too_late() -> None:
-    core = dispatcher(endpoints(1))
-    core.submit(job("back", arrived=4.0, tried_at=1.0))
-    core.submit(job("new", arrived=4.2))
-    assert placed(core.pump(4.3)) == ["new"]
+def test_a_job_that_can_be_in_time_goes_before_a_late_retry() -> None:
+    queue = dispatcher(endpoints(1))
+    queue.submit(job("back", arrived=4.0, tried_at=1.0))
+    queue.submit(job("new", arrived=4.2))
+    assert placed(queue.pump(4.3)) == ["new"]
 
 
-def test_of_those_that_came_back_the_first_try_counts() -> None:
-    core = dispatcher(endpoints(1))
-    core.submit(job("later", arrived=4.0, tried_at=2.0))
-    core.submit(job("first", arrived=4.2, tried_at=1.0))
-    assert placed(core.pump(4.3)) == ["first"]
+def test_retries_are_ordered_by_their_first_attempts() -> None:
+    queue = dispatcher(endpoints(1))
+    queue.submit(job("later", arrived=4.0, tried_at=2.0))
+    queue.submit(job("first", arrived=4.2, tried_at=1.0))
+    assert placed(queue.pump(4.3)) == ["first"]
 
 
-def test_patience_ends_before_the_caller_gives_up() -> None:
+def test_the_queue_timeout_ends_before_the_callers_deadline() -> None:
     route = stream_route()
     assert patience_s(route, 8.0) < 4 * route.objective_s
     assert patience_s(route, 1.0) == 0.5
@@ -209,22 +211,22 @@
     steps=st.lists(st.tuples(st.integers(0, 2), st.booleans()), max_size=40),
     extra=st.integers(min_value=0, max_value=2),
 )
-def test_places_are_never_exceeded_and_every_job_is_decided(
+def test_slots_are_never_exceeded_and_every_job_is_decided(
     slots: list[int], steps: list[tuple[int, bool]], extra: int
 ) -> None:
     table = endpoints(*slots)
-    core = dispatcher(table, extra=extra)
+    queue = dispatcher(table, extra=extra)
     running: list[Job] = []
     decided = 0
     for number, (tier, ends) in enumerate(steps):
         now = 0.1 * number
         if ends and running:
-            core.release(running.pop(0))
-        core.submit(job(f"j-{number}", tier=tier, arrived=now, give_up=now + 1.0))
-        for decision in core.pump(now):
+            queue.release(running.pop(0))
+        queue.submit(job(f"j-{number}", tier=tier, arrived=now, give_up=now + 1.0))
+        for decision in queue.pump(now):
             decided += 1
             if isinstance(decision, Placed):
                 running.append(decision.job)
         assert all(0 <= row.own <= row.published.slots + extra for row in table)
-    decided += len(core.pump(100.0))
+    decided += len(queue.pump(100.0))
     assert decided == len(steps)
--- a/tests/direct/test_granting.py
+++ b/tests/direct/test_granting.py
@@ -1,4 +1,4 @@
-"""How an entry gives places to others, and takes them back."""
+"""Granting slots to other entries, and releasing them."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Giving:
-    """An entry that gives places, and what it has told."""
+    """An entry that grants slots to others."""
 
     def __init__(self, *slots: int) -> None:
         self.table = endpoints(*slots)
@@ -44,19 +44,19 @@
         self.core = Granter(OWN, self.dispatcher, self.table, route_named)
 
     def pump(self, now: float) -> None:
-        """Decide what can be decided."""
+        """Run a scheduling round."""
         for decision in self.dispatcher.pump(now):
             self.core.decide(decision)
 
     def hear(self, state: PlacingState, now: float) -> PlacingAnswer | None:
-        """Take a state in; return the answer to its sender."""
+        """Handle a state; return the reply to its sender."""
         self.core.take(state, now)
         self.pump(now)
         return dict(self.core.answers()).get(state.address)
 
     @property
     def granted(self) -> list[int]:
-        """Places given to others, by endpoint."""
+        """Slots granted to others, by endpoint."""
         return [row.granted for row in self.table]
 
 
@@ -97,162 +97,162 @@
     )
 
 
-def test_a_place_is_given_and_counted() -> None:
-    giving = Giving(1)
-    answer = giving.hear(state(1, wants=(waiting(5),)), 100.0)
-    assert answer is not None
-    (grant,) = answer.grants
+def test_a_slot_is_granted_and_counted() -> None:
+    entry = Giving(1)
+    reply = entry.hear(state(1, wants=(waiting(5),)), 100.0)
+    assert reply is not None
+    (grant,) = reply.grants
     assert (grant.number, grant.endpoint, grant.reading) == (5, "e-0", 1000)
-    assert giving.granted == [1]
+    assert entry.granted == [1]
 
 
-def test_tiers_of_all_entries_go_in_order() -> None:
-    giving = Giving(1)
-    giving.hear(state(1, wants=(waiting(1),)), 100.0)
-    giving.hear(state(1, wants=(waiting(1, tier=2),), sender=address(2)), 100.0)
-    giving.hear(state(1, wants=(waiting(1, tier=1),), sender=address(3)), 100.1)
-    giving.core.take(state(2), 100.2)
-    giving.pump(100.2)
-    told = dict(giving.core.answers())
-    assert [grant.number for grant in told[address(3)].grants] == [1]
-    assert address(2) not in told
+def test_jobs_of_all_entries_are_ordered_by_tier() -> None:
+    entry = Giving(1)
+    entry.hear(state(1, wants=(waiting(1),)), 100.0)
+    entry.hear(state(1, wants=(waiting(1, tier=2),), sender=address(2)), 100.0)
+    entry.hear(state(1, wants=(waiting(1, tier=1),), sender=address(3)), 100.1)
+    entry.core.take(state(2), 100.2)
+    entry.pump(100.2)
+    replies = dict(entry.core.answers())
+    assert [grant.number for grant in replies[address(3)].grants] == [1]
+    assert address(2) not in replies
 
 
-def test_one_that_waits_is_told_that_it_was_heard() -> None:
-    giving = Giving(1)
-    giving.hear(state(1, wants=(waiting(1),)), 100.0)
-    answer = giving.hear(state(1, wants=(waiting(9),), sender=address(2)), 100.0)
-    assert answer is not None
-    assert (answer.grants, answer.denials) == ([], [])
+def test_a_waiting_job_gets_an_empty_reply() -> None:
+    entry = Giving(1)
+    entry.hear(state(1, wants=(waiting(1),)), 100.0)
+    reply = entry.hear(state(1, wants=(waiting(9),), sender=address(2)), 100.0)
+    assert reply is not None
+    assert (reply.grants, reply.denials) == ([], [])
 
 
-def test_a_grant_that_was_lost_is_told_again_and_counted_once() -> None:
-    giving = Giving(2)
+def test_a_lost_grant_is_repeated_and_counted_once() -> None:
+    entry = Giving(2)
     for number in range(1, 4):
-        answer = giving.hear(state(number, wants=(waiting(5),)), 100.0 + number / 100)
-        assert answer is not None
-        assert len(answer.grants) == 1
-    assert sum(giving.granted) == 1
+        reply = entry.hear(state(number, wants=(waiting(5),)), 100.0 + number / 100)
+        assert reply is not None
+        assert len(reply.grants) == 1
+    assert sum(entry.granted) == 1
 
 
-def test_a_denial_is_told_until_it_was_heard() -> None:
-    giving = Giving(1)
-    giving.hear(state(1, wants=(waiting(1),)), 100.0)
+def test_a_denial_is_repeated_until_it_is_received() -> None:
+    entry = Giving(1)
+    entry.hear(state(1, wants=(waiting(1),)), 100.0)
     late = waiting(2)
     late.give_up_s = 0.0
     for number in (2, 3):
-        answer = giving.hear(state(number, wants=(waiting(1), late)), 100.0)
-        assert answer is not None
-        assert [denial.reason for denial in answer.denials] == [Reason.SHED.value]
-    answer = giving.hear(state(4, wants=(waiting(1),)), 100.1)
-    assert answer is not None
-    assert answer.denials == []
-
-
-def test_a_state_that_comes_late_changes_nothing() -> None:
-    giving = Giving(1)
-    giving.hear(state(2, wants=(waiting(5),)), 100.0)
-    assert not giving.core.take(state(1), 100.1)
-    assert giving.granted == [1]
-
-
-def test_a_place_is_free_once_a_state_leaves_it_out() -> None:
-    giving = Giving(1)
-    giving.hear(state(1, wants=(waiting(5),)), 100.0)
-    giving.hear(state(2, holds=(HeldJob(5, "e-0", 1000),)), 100.1)
-    assert giving.granted == [1]
-    giving.hear(state(3), 100.2)
-    assert giving.granted == [0]
-    assert len(giving.core) == 0
-
-
-def test_a_prompt_that_was_read_holds_nobody_up() -> None:
-    giving = Giving(2)
-    giving.hear(state(1, wants=(waiting(5),)), 100.0)
-    row = giving.table.get("e-0")
+        reply = entry.hear(state(number, wants=(waiting(1), late)), 100.0)
+        assert reply is not None
+        assert [denial.reason for denial in reply.denials] == [Reason.SHED.value]
+    reply = entry.hear(state(4, wants=(waiting(1),)), 100.1)
+    assert reply is not None
+    assert reply.denials == []
+
+
+def test_a_late_state_is_ignored() -> None:
+    entry = Giving(1)
+    entry.hear(state(2, wants=(waiting(5),)), 100.0)
+    assert not entry.core.take(state(1), 100.1)
+    assert entry.granted == [1]
+
+
+def test_a_slot_is_released_once_a_state_omits_it() -> None:
+    entry = Giving(1)
+    entry.hear(state(1, wants=(waiting(5),)), 100.0)
+    entry.hear(state(2, holds=(HeldJob(5, "e-0", 1000),)), 100.1)
+    assert entry.granted == [1]
+    entry.hear(state(3), 100.2)
+    assert entry.granted == [0]
+    assert len(entry.core) == 0
+
+
+def test_a_finished_prefill_no_longer_counts() -> None:
+    entry = Giving(2)
+    entry.hear(state(1, wants=(waiting(5),)), 100.0)
+    row = entry.table.get("e-0")
     assert row is not None
     assert row.reading == 1000
-    giving.hear(state(2, holds=(HeldJob(5, "e-0", 0),)), 100.1)
+    entry.hear(state(2, holds=(HeldJob(5, "e-0", 0),)), 100.1)
     assert row.reading == 0
 
 
-def test_a_place_that_is_declined_goes_to_others() -> None:
-    giving = Giving(1, 1)
-    answer = giving.hear(state(1, wants=(waiting(5),)), 100.0)
-    assert answer is not None
-    first = answer.grants[0].endpoint
-    answer = giving.hear(state(2, wants=(waiting(5, tried=(first,)),)), 100.1)
-    assert answer is not None
-    assert answer.grants[0].endpoint != first
-    assert sum(giving.granted) == 1
+def test_a_declined_job_is_granted_a_slot_elsewhere() -> None:
+    entry = Giving(1, 1)
+    reply = entry.hear(state(1, wants=(waiting(5),)), 100.0)
+    assert reply is not None
+    first = reply.grants[0].endpoint
+    reply = entry.hear(state(2, wants=(waiting(5, tried=(first,)),)), 100.1)
+    assert reply is not None
+    assert reply.grants[0].endpoint != first
+    assert sum(entry.granted) == 1
 
 
-def test_a_place_that_is_declined_for_a_while_goes_to_others() -> None:
-    giving = Giving(1)
-    answer = giving.hear(state(1, wants=(waiting(5),)), 100.0)
-    assert answer is not None
-    resting = msgspec.structs.replace(waiting(5), holds={"e-0": 0.5})
-    giving.hear(state(2, wants=(resting,)), 100.1)
-    (job_,) = [row for rows in giving.dispatcher._waiting.values() for row in rows]  # noqa: SLF001
-    assert job_.held_until == {"e-0": pytest.approx(100.6)}
-    giving.hear(state(3, wants=(waiting(5),)), 100.2)
-    assert job_.held_until == {}
+def test_an_endpoint_declined_for_a_while_is_blocked_for_that_job() -> None:
+    entry = Giving(1)
+    reply = entry.hear(state(1, wants=(waiting(5),)), 100.0)
+    assert reply is not None
+    blocked = msgspec.structs.replace(waiting(5), holds={"e-0": 0.5})
+    entry.hear(state(2, wants=(blocked,)), 100.1)
+    (queued,) = [row for rows in entry.dispatcher._waiting.values() for row in rows]  # noqa: SLF001
+    assert queued.held_until == {"e-0": pytest.approx(100.6)}
+    entry.hear(state(3, wants=(waiting(5),)), 100.2)
+    assert queued.held_until == {}
 
 
-def test_places_that_others_gave_are_counted() -> None:
-    giving = Giving(2)
-    giving.hear(state(1, holds=(HeldJob(8, "e-0", 0), HeldJob(9, "gone", 0))), 100.0)
-    assert giving.granted == [1]
+def test_slots_granted_elsewhere_are_counted() -> None:
+    entry = Giving(2)
+    entry.hear(state(1, holds=(HeldJob(8, "e-0", 0), HeldJob(9, "gone", 0))), 100.0)
+    assert entry.granted == [1]
 
 
-def test_places_of_a_silent_entry_come_back() -> None:
-    giving = Giving(1)
-    giving.hear(state(1, wants=(waiting(5),)), 100.0)
-    assert not giving.core.expire(100.0 + LEASE_S)
-    assert giving.core.expire(100.1 + LEASE_S)
-    assert giving.granted == [0]
-    assert not giving.core.asks_here(address(1), "work")
+def test_slots_of_an_expired_lease_are_released() -> None:
+    entry = Giving(1)
+    entry.hear(state(1, wants=(waiting(5),)), 100.0)
+    assert not entry.core.expire(100.0 + LEASE_S)
+    assert entry.core.expire(100.1 + LEASE_S)
+    assert entry.granted == [0]
+    assert not entry.core.asks_here(address(1), "work")
 
 
-def test_places_of_an_earlier_life_come_back() -> None:
-    giving = Giving(1)
-    giving.hear(state(90, wants=(waiting(5),)), 100.0)
-    answer = giving.hear(state(1, wants=(waiting(1),), incarnation=2), 100.1)
-    assert answer is not None
-    assert len(answer.grants) == 1
-    assert giving.granted == [1]
+def test_slots_of_an_earlier_incarnation_are_released() -> None:
+    entry = Giving(1)
+    entry.hear(state(90, wants=(waiting(5),)), 100.0)
+    reply = entry.hear(state(1, wants=(waiting(1),), incarnation=2), 100.1)
+    assert reply is not None
+    assert len(reply.grants) == 1
+    assert entry.granted == [1]
 
 
-def test_a_route_that_is_not_known_here_gets_no_answer() -> None:
-    giving = Giving(1)
-    unknown = waiting(5)
-    unknown.route = "new"
-    assert giving.hear(state(1, wants=(unknown,)), 100.0) is None
+def test_a_state_with_an_unknown_route_gets_no_reply() -> None:
+    entry = Giving(1)
+    unroutable = waiting(5)
+    unroutable.route = "new"
+    assert entry.hear(state(1, wants=(unroutable,)), 100.0) is None
 
 
-def test_what_others_measured_is_learned() -> None:
-    giving = Giving(1)
-    row = giving.table.get("e-0")
+def test_measurements_of_other_entries_are_recorded() -> None:
+    entry = Giving(1)
+    row = entry.table.get("e-0")
     assert row is not None
     samples = tuple(Sample("e-0", SampleKind.GAP, 0, 0.1) for _ in range(20))
-    giving.hear(state(1, wants=(waiting(5),), samples=samples), 100.0)
+    entry.hear(state(1, wants=(waiting(5),), samples=samples), 100.0)
     assert row.speed.gap_s > 0.09
 
 
-def test_failures_that_others_saw_count_once_until_it_is_tried_again() -> None:
-    giving = Giving(1)
-    row = giving.table.get("e-0")
+def test_reported_failures_count_once_until_the_endpoint_responds() -> None:
+    entry = Giving(1)
+    row = entry.table.get("e-0")
     assert row is not None
     failed = (Sample("e-0", SampleKind.FAILED),) * 5
-    giving.hear(state(1, wants=(waiting(5),), samples=failed), 100.0)
+    entry.hear(state(1, wants=(waiting(5),), samples=failed), 100.0)
     assert row.failures == 1
-    answered = (Sample("e-0", SampleKind.FIRST, 100, 0.1),)
-    giving.hear(state(2, wants=(waiting(5),), samples=answered), 100.1)
+    responded = (Sample("e-0", SampleKind.FIRST, 100, 0.1),)
+    entry.hear(state(2, wants=(waiting(5),), samples=responded), 100.1)
     assert row.failures == 0
 
 
 class Pair:
-    """Two entries that ask a third one, over datagrams that may be lost."""
+    """Two entries that request slots from a third one, over datagrams that may be lost."""
 
     def __init__(self, slots: list[int]) -> None:
         self.giving = Giving(*slots)
@@ -260,45 +260,45 @@
         self.askers: list[Asker] = []
         self._known: list[PeerTable] = []
         for number in (1, 2):
-            known = PeerTable(address(number), ())
-            known.receive(digest(OWN), 1e9)
+            peer_table = PeerTable(address(number), ())
+            peer_table.receive(digest(OWN), 1e9)
             table = endpoints(*slots)
-            # It never becomes old enough to give places itself.
-            coordinators = Coordinators(known, capacity=1.0, started=2e9)
-            self._known.append(known)
+            # It never becomes old enough to coordinate.
+            coordinators = Coordinators(peer_table, capacity=1.0, started=2e9)
+            self._known.append(peer_table)
             self.tables.append(table)
             self.askers.append(Asker(address(number), number, coordinators, table))
         self.decided: dict[str, bool] = {}
         self.running: list[tuple[Asker, Dispatcher, Job]] = []
 
     def hear_digests(self, now: float) -> None:
-        """Let both hear the third one."""
-        for known in self._known:
-            for row in known.rows:
+        """Mark the third entry's digest as just received by both."""
+        for peer_table in self._known:
+            for row in peer_table.rows:
                 row.heard = now
 
-    def exchange(self, asker: Asker, now: float, *, is_lost: bool) -> None:
-        """Send what is due, take it in there, and the answers back here."""
-        for _, message in asker.due(now):
+    def exchange(self, client: Asker, now: float, *, is_lost: bool) -> None:
+        """Send due states to the third entry, and its replies to the clients."""
+        for _, message in client.due(now):
             if not is_lost:
                 self.giving.core.take(message, now)
         self.giving.pump(now)
-        for to, answer in self.giving.core.answers():
+        for to, reply in self.giving.core.answers():
             if is_lost:
                 continue
-            asks = next(one for one in self.askers if one._own == to)  # noqa: SLF001
-            for decision in asks.take(answer, now):
+            receiver = next(one for one in self.askers if one._own == to)  # noqa: SLF001
+            for decision in receiver.take(reply, now):
                 assert decision.job.rid not in self.decided
                 self.decided[decision.job.rid] = isinstance(decision, Placed)
                 if isinstance(decision, Placed):
-                    self.running.append((asks, self.giving.dispatcher, decision.job))
+                    self.running.append((receiver, self.giving.dispatcher, decision.job))
 
     def end_one(self) -> None:
-        """End the request that runs longest."""
+        """End the request that has been running for longest."""
         if self.running:
-            asker, dispatcher_, item = self.running.pop(0)
+            client, dispatcher_, item = self.running.pop(0)
             dispatcher_.release(item)
-            asker.drop(item)
+            client.drop(item)
 
 
 @given(
@@ -308,52 +308,52 @@
         max_size=40,
     ),
 )
-def test_places_are_given_once_and_come_back_whatever_is_lost(
+def test_slots_are_granted_once_and_released_whatever_is_lost(
     slots: list[int], steps: list[tuple[int, int, bool, bool]]
 ) -> None:
     pair = Pair(slots)
     now = 1e9
-    for number, (who, tier, is_lost, ends) in enumerate(steps):
+    for number, (client_index, tier, is_lost, ends) in enumerate(steps):
         now += 0.05
         pair.hear_digests(now)
         item = job(f"j-{number}", tier=tier, arrived=now, give_up=now + 1e6)
         item.was_weighed = True
-        assert pair.askers[who].ask(item, now)
+        assert pair.askers[client_index].ask(item, now)
         if ends:
             pair.end_one()
-        pair.exchange(pair.askers[who], now, is_lost=is_lost)
-        for place, row in enumerate(pair.giving.table):
+        pair.exchange(pair.askers[client_index], now, is_lost=is_lost)
+        for index, row in enumerate(pair.giving.table):
             held = [table.get(row.id) for table in pair.tables]
-            assert sum(one.own for one in held if one is not None) <= slots[place]
+            assert sum(one.own for one in held if one is not None) <= slots[index]
             assert row.granted <= row.published.slots
     for _ in range(3 * len(steps) + 3):
         now += 0.3
         pair.hear_digests(now)
         pair.end_one()
-        for asker in pair.askers:
-            pair.exchange(asker, now, is_lost=False)
+        for client in pair.askers:
+            pair.exchange(client, now, is_lost=False)
     assert sum(pair.decided.values()) == len(steps)
     assert sum(pair.giving.granted) == 0
 
 
-def test_what_others_sent_before_they_asked_counts_once() -> None:
-    giving = Giving(9)
+def test_requests_sent_before_the_first_state_count_once() -> None:
+    entry = Giving(9)
     first = state(1, wants=(waiting(1),))
     first.sends = [LateSend("e-0", 0.5), LateSend("e-0", 0.2), LateSend("e-9", 0.1)]
-    giving.hear(first, 100.0)
-    again = state(2, wants=(waiting(1), waiting(2)))
-    again.sends = first.sends
-    giving.hear(again, 100.1)
-    (row,) = giving.table
-    # Two that were told, and two that were given here.
+    entry.hear(first, 100.0)
+    second = state(2, wants=(waiting(1), waiting(2)))
+    second.sends = first.sends
+    entry.hear(second, 100.1)
+    (row,) = entry.table
+    # Two that were reported, and two that were granted here.
     assert row.sends.count(100.1) == 4
     assert row.sends.count(100.1, 0.5) == 3
 
 
-def test_a_place_is_given_only_in_halls_where_the_request_may_run() -> None:
-    giving = Giving(1)
+def test_a_slot_is_granted_only_in_allowed_halls() -> None:
+    entry = Giving(1)
     elsewhere = waiting(1)
     elsewhere.halls = ["hall2"]
-    answer = giving.hear(state(1, wants=(elsewhere, waiting(2))), 100.0)
-    assert answer is not None
-    assert [grant.number for grant in answer.grants] == [2]
+    reply = entry.hear(state(1, wants=(elsewhere, waiting(2))), 100.0)
+    assert reply is not None
+    assert [grant.number for grant in reply.grants] == [2]
--- a/tests/direct/test_pressure.py
+++ b/tests/direct/test_pressure.py
@@ -1,4 +1,4 @@
-"""How fast tiers get places, and since when they have had to wait."""
+"""How fast tiers get slots, and for how long their jobs have had to wait."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from dockreach.direct.pressure import RATE_S, Pressure
 
 
-def test_where_nothing_was_placed_lately_nothing_is_known() -> None:
+def test_without_recent_assignments_nothing_is_expected() -> None:
     pressure = Pressure()
     assert pressure.places_within("work", (1,), 1.0, 5.0) is None
     pressure.note_placed("work", (1,), 0.0, 5.0)
@@ -16,7 +16,7 @@
     assert pressure.places_within("work", (1,), 1.0, 5.1 + RATE_S) is None
 
 
-def test_places_grow_with_the_rate_and_the_span() -> None:
+def test_expected_slots_grow_with_the_rate_and_the_time_ahead() -> None:
     pressure = Pressure()
     for step in range(10):
         pressure.note_placed("work", (1,), 0.0, 5.0 + step / 100)
@@ -25,7 +25,7 @@
     assert pressure.places_within("work", (1,), -0.1, 5.2) == 0.0
 
 
-def test_higher_tiers_take_what_they_ask_for() -> None:
+def test_arrivals_of_higher_tiers_are_subtracted() -> None:
     pressure = Pressure()
     pressure.note_placed("work", (1,), 0.0, 5.0)
     pressure.note_placed("work", (2,), 0.0, 5.0)
@@ -37,7 +37,7 @@
     assert pressure.places_within("work", (1,), 1.0, 5.1) == 2.0
 
 
-def test_tiers_and_services_are_apart() -> None:
+def test_tiers_and_services_are_independent() -> None:
     pressure = Pressure()
     pressure.note_placed("work", (1,), 2.0, 5.0)
     assert pressure.lasted_s("work", (1,), 6.0) == 3.0
@@ -45,7 +45,7 @@
     assert pressure.lasted_s("other", (1,), 6.0) == 0.0
 
 
-def test_pressure_ends_with_a_job_that_did_not_wait() -> None:
+def test_a_job_that_did_not_wait_ends_the_pressure() -> None:
     pressure = Pressure()
     pressure.note_placed("work", (1,), 0.5, 5.0)
     pressure.note_placed("work", (1,), 0.5, 6.0)
--- a/tests/direct/test_scheduling.py
+++ b/tests/direct/test_scheduling.py
@@ -1,4 +1,4 @@
-"""How often an entry goes over all that waits."""
+"""How often an entry runs scheduling rounds."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class World:
-    """A clock, timers that are called when due, and a dispatcher that takes time."""
+    """A clock, timers that are called when due, and a dispatcher whose rounds take time."""
 
     def __init__(self, round_s: float) -> None:
         self.now = 100.0
@@ -33,13 +33,13 @@
         self._timers.append((self.now + seconds, call))
 
     def pump(self, now: float) -> list[Decision]:
-        """Decide nothing, for a while."""
+        """Run a round that takes time and decides nothing."""
         self.rounds.append(now)
         self.now += self._round_s
         return []
 
     def pass_time(self, seconds: float) -> None:
-        """Let time pass and call timers that are due."""
+        """Advance the clock and call timers that are due."""
         self.now += seconds
         due = [call for when, call in self._timers if when <= self.now]
         self._timers = [timer for timer in self._timers if timer[0] > self.now]
@@ -47,14 +47,14 @@
             call()
 
 
-def scheduler(world: World, monkeypatch: pytest.MonkeyPatch) -> Scheduler:
-    clock = SimpleNamespace(now=lambda: world.now)
+def scheduler(runtime: World, monkeypatch: pytest.MonkeyPatch) -> Scheduler:
+    clock = SimpleNamespace(now=lambda: runtime.now)
     monkeypatch.setattr(scheduling, "clock", clock)
-    monkeypatch.setattr(scheduling, "eventlet", world)
+    monkeypatch.setattr(scheduling, "eventlet", runtime)
     table = endpoints(1)
     coordinators = Coordinators(peers(), capacity=1.0, started=0.0)
     return Scheduler(
-        world,  # type: ignore[arg-type]
+        runtime,  # type: ignore[arg-type]
         Asker(OWN, 1, coordinators, table),
         Granter(OWN, dispatcher(table), table, lambda _: None),
         lambda *_: None,
@@ -62,40 +62,44 @@
     )
 
 
-def test_long_rounds_take_a_part_of_the_time_only(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Engines of 6 places had up to 44 requests in a burst of three times the usual load.
+def test_long_rounds_take_only_a_fraction_of_the_time(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Guards against a coordinator that spends all its time on scheduling rounds.
 
-    The entry that gave out the places went over all that waited at each event, more than
-    its core could do. Others took it for silent, and several gave the same places.
+    In a burst of three times the usual load, engines with 6 slots had up to 44 requests.
+    The coordinator ran a round over all waiting jobs at each event, more than its core
+    could do. Its clients found it unresponsive, and several entries assigned the same
+    slots.
     """
-    world = World(LONG_S)
-    core = scheduler(world, monkeypatch)
-    end = world.now + 0.2
-    while world.now < end:
-        core.pump()
-        world.pass_time(STEP_S)
-    most = 0.2 / (LONG_S * (1 + PAUSE_FACTOR)) + 1
-    assert most - 2 <= len(world.rounds) <= most
+    runtime = World(LONG_S)
+    scheduler_ = scheduler(runtime, monkeypatch)
+    end = runtime.now + 0.2
+    while runtime.now < end:
+        scheduler_.pump()
+        runtime.pass_time(STEP_S)
+    max_rounds = 0.2 / (LONG_S * (1 + PAUSE_FACTOR)) + 1
+    assert max_rounds - 2 <= len(runtime.rounds) <= max_rounds
 
 
-def test_what_comes_in_the_pause_is_decided_after_it(
+def test_events_during_the_pause_are_handled_in_one_round_after_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    world = World(LONG_S)
-    core = scheduler(world, monkeypatch)
-    core.pump()
+    runtime = World(LONG_S)
+    scheduler_ = scheduler(runtime, monkeypatch)
+    scheduler_.pump()
     for _ in range(3):
-        core.pump()
-    assert len(world.rounds) == 1
-    world.pass_time(0.9 * LONG_S * PAUSE_FACTOR)
-    assert len(world.rounds) == 1
-    world.pass_time(0.2 * LONG_S * PAUSE_FACTOR)
-    assert len(world.rounds) == 2
+        scheduler_.pump()
+    assert len(runtime.rounds) == 1
+    runtime.pass_time(0.9 * LONG_S * PAUSE_FACTOR)
+    assert len(runtime.rounds) == 1
+    runtime.pass_time(0.2 * LONG_S * PAUSE_FACTOR)
+    assert len(runtime.rounds) == 2
 
 
-def test_short_rounds_are_run_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    world = World(0.0)
-    core = scheduler(world, monkeypatch)
+def test_short_rounds_run_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    runtime = World(0.0)
+    scheduler_ = scheduler(runtime, monkeypatch)
     for _ in range(5):
-        core.pump()
-    assert len(world.rounds) == 5
+        scheduler_.pump()
+    assert len(runtime.rounds) == 5
