--- a/tests/direct/test_cold.py
+++ b/tests/direct/test_cold.py
@@ -1,4 +1,4 @@
-"""How many requests endpoints are sent while they are cold, or may be."""
+"""How many requests an endpoint is sent while it is cold, or may be."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Core:
-    """The decisions of one entry among some others, all heard."""
+    """The decisions of one entry that receives the digests of all others."""
 
     def __init__(
         self,
@@ -65,76 +65,79 @@
         )
 
     def hear_all(self, now: float) -> None:
-        """Let all others be heard again."""
+        """Receive a new digest from each other entry."""
         for row in self.peers.rows:
             number = row.digest.number + 1
             self.peers.receive(digest(row.digest.address, number=number), now)
 
     def fail_for(self, length_s: float, *, per_s: float = 100.0) -> dict[str, list[float]]:
-        """Send requests that end at once; return when each endpoint got one."""
-        sent: dict[str, list[float]] = {row.id: [] for row in self.table}
+        """Send requests that end at once; return the send times by endpoint."""
+        sent_at: dict[str, list[float]] = {row.id: [] for row in self.table}
         numbers = itertools.count()
         for step in range(round(length_s * per_s)):
             now = NOW + step / per_s
             self.hear_all(now)
-            one = job(f"j-{next(numbers)}", arrived=now, give_up=now)
-            self.dispatcher.submit(one)
+            failing_job = job(f"j-{next(numbers)}", arrived=now, give_up=now)
+            self.dispatcher.submit(failing_job)
             for decision in self.dispatcher.pump(now):
                 if decision.job.endpoint is not None:
-                    sent[decision.job.endpoint.id].append(now)
+                    sent_at[decision.job.endpoint.id].append(now)
                     self.dispatcher.release(decision.job)
-        return sent
+        return sent_at
 
 
 def most_in_a_second(times: list[float]) -> int:
     return max((sum(at <= t < at + 1.0 for t in times) for at in times), default=0)
 
 
-def test_requests_that_end_at_once_do_not_flood_an_endpoint_that_may_be_cold() -> None:
-    """Eighteen requests in a second came to one that was bound to 17."""
+def test_requests_that_end_at_once_do_not_overload_a_possibly_cold_endpoint() -> None:
+    """Guards against exceeding the bound by requests that release their slots at once.
+
+    An endpoint with a bound of 17 got eighteen requests in a second.
+    """
     (times,) = Core().fail_for(4.0).values()
     assert 8 <= most_in_a_second(times) <= BOUND
 
 
-def test_an_endpoint_that_says_it_is_cold_gets_what_it_bears() -> None:
-    core = Core(engines=0)
-    core.publish(0, cold_s=5.0)
-    (times,) = core.fail_for(4.0).values()
+def test_an_endpoint_that_reports_being_cold_gets_what_it_sustains() -> None:
+    entry = Core(engines=0)
+    entry.publish(0, cold_s=5.0)
+    (times,) = entry.fail_for(4.0).values()
     assert 1 <= most_in_a_second(times) <= PER_S
     assert len(times) >= 4
 
 
-def test_it_is_given_no_request_beyond_its_places_while_it_is_cold() -> None:
-    core = Core(engines=0)
-    core.publish(0, cold_s=1.0, slots=2)
+def test_a_cold_endpoint_gets_no_request_beyond_its_slots() -> None:
+    entry = Core(engines=0)
+    entry.publish(0, cold_s=1.0, slots=2)
     for number in range(4):
-        core.dispatcher.submit(job(f"j-{number}", arrived=NOW))
-    assert len(placed(core.dispatcher.pump(NOW))) == 2
-    assert len(placed(core.dispatcher.pump(NOW + 1.5))) == 1
+        entry.dispatcher.submit(job(f"j-{number}", arrived=NOW))
+    assert len(placed(entry.dispatcher.pump(NOW))) == 2
+    assert len(placed(entry.dispatcher.pump(NOW + 1.5))) == 1
 
 
-def test_services_without_a_bound_are_not_held_back() -> None:
-    core = Core()
-    core.guard.declare({"work": Service("work", 100)})
-    (times,) = core.fail_for(2.0).values()
+def test_services_without_a_cold_rate_are_not_limited() -> None:
+    entry = Core()
+    entry.guard.declare({"work": Service("work", 100)})
+    (times,) = entry.fail_for(2.0).values()
     assert most_in_a_second(times) > 5 * BOUND
 
 
 @pytest.mark.parametrize("entries", [2, 4, 28, 120])
 @pytest.mark.parametrize("is_cold", [True, False])
-def test_entries_that_all_decide_alone_stay_below_the_bound_when_it_is_cold(
+def test_independent_entries_stay_below_the_bound_of_a_cold_endpoint(
     entries: int, *, is_cold: bool
 ) -> None:
-    """Each hears all others, and has lost the coordinator."""
-    everybody = tuple(address(number) for number in range(entries))
+    """Each entry receives all digests, but does not coordinate: its coordinator is lost."""
+    addresses = tuple(address(number) for number in range(entries))
     total: list[float] = []
-    for own in everybody:
-        others = tuple(other for other in everybody if other != own)
-        core = Core(own, others, engines=0)
-        core.publish(0, cold_s=10.0 if is_cold else 0.0)
-        if core.coordinators.of("work", NOW) is None:
+    for own in addresses:
+        others = tuple(other for other in addresses if other != own)
+        entry = Core(own, others, engines=0)
+        entry.publish(0, cold_s=10.0 if is_cold else 0.0)
+        if entry.coordinators.of("work", NOW) is None:
             continue
-        (times,) = core.fail_for(2.0, per_s=20.0).values()
+        (times,) = entry.fail_for(2.0, per_s=20.0).values()
         total.extend(times)
     assert total
     if is_cold:
@@ -143,85 +146,86 @@
         assert most_in_a_second(total) <= max(BOUND, entries)
 
 
-def test_two_entries_that_both_coordinate_stay_below_the_bound_of_a_cold_endpoint() -> None:
+def test_two_coordinators_stay_below_the_bound_of_a_cold_endpoint() -> None:
     times: list[float] = []
     for _ in range(2):
-        core = Core(engines=0)
-        core.publish(0, cold_s=10.0)
-        times.extend(next(iter(core.fail_for(3.0).values())))
+        entry = Core(engines=0)
+        entry.publish(0, cold_s=10.0)
+        times.extend(next(iter(entry.fail_for(3.0).values())))
     assert most_in_a_second(times) <= BOUND - 0.1 * BOUND
 
 
-def test_an_entry_that_knows_nobody_sends_nothing_to_a_cold_endpoint() -> None:
-    lonely = Core(seeds=(address(1),), engines=0, started=NOW)
-    lonely.publish(0, cold_s=2.0)
-    (times,) = lonely.fail_for(3.0).values()
+def test_an_entry_without_known_peers_sends_nothing_to_a_cold_endpoint() -> None:
+    entry = Core(seeds=(address(1),), engines=0, started=NOW)
+    entry.publish(0, cold_s=2.0)
+    (times,) = entry.fail_for(3.0).values()
     assert times
     assert min(times) >= NOW + 2.0
 
 
-def test_an_entry_that_is_the_only_one_uses_its_cold_endpoints() -> None:
-    only = Core(seeds=(OWN,), engines=0, started=NOW - MATURE_S)
-    only.publish(0, cold_s=2.0)
-    (times,) = only.fail_for(1.0).values()
+def test_a_single_entry_uses_its_cold_endpoints() -> None:
+    entry = Core(seeds=(OWN,), engines=0, started=NOW - MATURE_S)
+    entry.publish(0, cold_s=2.0)
+    (times,) = entry.fail_for(1.0).values()
     assert times
 
 
 @pytest.mark.parametrize("is_cold", [True, False])
-def test_entries_that_are_cut_off_from_all_do_not_each_count_for_all(
-    *, is_cold: bool
-) -> None:
-    """Each hears nobody for longer than a second, and knows how many there are."""
-    everybody = tuple(address(number) for number in range(8))
+def test_partitioned_entries_stay_below_the_bound_together(*, is_cold: bool) -> None:
+    """Guards against each of several partitioned entries using the whole bound.
+
+    No entry receives digests for more than a second; each knows how many entries there are.
+    """
+    addresses = tuple(address(number) for number in range(8))
     total: list[float] = []
-    for own in everybody:
-        others = tuple(other for other in everybody if other != own)
-        core = Core(own, others, engines=0)
-        core.publish(0, cold_s=20.0 if is_cold else 0.0)
-        core.hear_all(NOW - 5.0)
-        core.hear_all = lambda now: None  # type: ignore[method-assign]
-        (times,) = core.fail_for(4.0, per_s=20.0).values()
+    for own in addresses:
+        others = tuple(other for other in addresses if other != own)
+        entry = Core(own, others, engines=0)
+        entry.publish(0, cold_s=20.0 if is_cold else 0.0)
+        entry.hear_all(NOW - 5.0)
+        entry.hear_all = lambda now: None  # type: ignore[method-assign]
+        (times,) = entry.fail_for(4.0, per_s=20.0).values()
         total.extend(time for time in times if time > NOW + 1.0)
     assert most_in_a_second(total) <= (0.1 * BOUND if is_cold else BOUND)
 
 
-def test_a_new_coordinator_counts_what_was_sent_before_it_was_asked() -> None:
-    core = Core()
+def test_a_new_coordinator_counts_earlier_sends() -> None:
+    entry = Core()
     for number in range(20):
-        core.table.note_send("e-0", NOW - 0.5 + number / 1000)
-    core.dispatcher.submit(job("a", arrived=NOW))
-    assert placed(core.dispatcher.pump(NOW)) == []
-    assert placed(core.dispatcher.pump(NOW - 0.4 + WINDOW_S)) == ["a"]
+        entry.table.note_send("e-0", NOW - 0.5 + number / 1000)
+    entry.dispatcher.submit(job("a", arrived=NOW))
+    assert placed(entry.dispatcher.pump(NOW)) == []
+    assert placed(entry.dispatcher.pump(NOW - 0.4 + WINDOW_S)) == ["a"]
 
 
-def test_what_was_out_of_reach_is_cold_until_some_time_after_it_is_back() -> None:
-    warmth = Warmth()
-    warmth.lose_reach()
-    assert warmth.is_cold(NOW, START_S)
-    assert warmth.is_cold(NOW + 100.0, START_S)
-    warmth.reach(NOW + 100.0)
-    assert warmth.is_cold(NOW + 102.9, START_S)
-    assert not warmth.is_cold(NOW + 103.1, START_S)
+def test_an_unreachable_endpoint_is_cold_until_some_time_after_its_return() -> None:
+    warm_up = Warmth()
+    warm_up.lose_reach()
+    assert warm_up.is_cold(NOW, START_S)
+    assert warm_up.is_cold(NOW + 100.0, START_S)
+    warm_up.reach(NOW + 100.0)
+    assert warm_up.is_cold(NOW + 102.9, START_S)
+    assert not warm_up.is_cold(NOW + 103.1, START_S)
 
 
-def test_an_answer_of_an_endpoint_that_was_in_reach_says_nothing_on_coldness() -> None:
-    warmth = Warmth()
-    warmth.reach(NOW)
-    assert not warmth.is_cold(NOW, START_S)
+def test_a_response_of_a_reachable_endpoint_does_not_make_it_cold() -> None:
+    warm_up = Warmth()
+    warm_up.reach(NOW)
+    assert not warm_up.is_cold(NOW, START_S)
 
 
-def test_a_hall_that_was_empty_is_cold_when_it_is_taken_back() -> None:
-    core = Core()
-    (row,) = core.table
-    core.table.empty(frozenset({"hall1"}), NOW)
-    assert core.table.usable("work", NOW) == []
-    core.table.empty(frozenset(), NOW + 1.0)
-    assert core.guard.is_cold(row, NOW + 1.0)
-    assert not core.guard.is_cold(row, NOW + 1.1 + START_S)
+def test_endpoints_are_cold_after_the_evacuation_of_their_hall() -> None:
+    entry = Core()
+    (row,) = entry.table
+    entry.table.empty(frozenset({"hall1"}), NOW)
+    assert entry.table.usable("work", NOW) == []
+    entry.table.empty(frozenset(), NOW + 1.0)
+    assert entry.guard.is_cold(row, NOW + 1.0)
+    assert not entry.guard.is_cold(row, NOW + 1.1 + START_S)
 
 
 @given(st.lists(st.floats(0.0, 10.0), max_size=60))
-def test_sends_of_the_last_span_are_counted(times: list[float]) -> None:
+def test_sends_of_the_last_window_are_counted(times: list[float]) -> None:
     sends = Sends()
     now = 0.0
     for at in sorted(times):
--- a/tests/direct/test_engine_speed.py
+++ b/tests/direct/test_engine_speed.py
@@ -1,4 +1,4 @@
-"""What is learned of an engine from its answers."""
+"""Estimating the speed of an engine from its responses."""
 
 from __future__ import annotations
 
@@ -9,18 +9,20 @@
 from dockreach.direct.engine_speed import LEAST_LATENCY_S, LEAST_READ_S, EngineSpeed
 
 
-@pytest.mark.parametrize(("latency_s", "read_s"), [(0.03, 1e-5), (0.15, 5e-5)])
-def test_reading_and_the_rest_are_told_apart(latency_s: float, read_s: float) -> None:
+@pytest.mark.parametrize(("latency_s", "prefill_s"), [(0.03, 1e-5), (0.15, 5e-5)])
+def test_prefill_and_latency_are_estimated_separately(
+    latency_s: float, prefill_s: float
+) -> None:
     rng = random.Random(4)
     speed = EngineSpeed()
     for _ in range(400):
         tokens = rng.lognormvariate(7.5, 1.0)
-        speed.learn_first(tokens, (latency_s + read_s * tokens) * rng.uniform(0.9, 1.1))
-    assert speed.first_s(500) == pytest.approx(latency_s + 500 * read_s, rel=0.25)
-    assert speed.first_s(8000) == pytest.approx(latency_s + 8000 * read_s, rel=0.25)
+        speed.learn_first(tokens, (latency_s + prefill_s * tokens) * rng.uniform(0.9, 1.1))
+    assert speed.first_s(500) == pytest.approx(latency_s + 500 * prefill_s, rel=0.25)
+    assert speed.first_s(8000) == pytest.approx(latency_s + 8000 * prefill_s, rel=0.25)
 
 
-def test_noise_never_makes_an_engine_faster_than_possible() -> None:
+def test_noise_does_not_push_estimates_below_their_bounds() -> None:
     speed = EngineSpeed()
     for _ in range(100):
         speed.learn_first(3000, 0.0)
@@ -28,7 +30,7 @@
     assert speed.read_s >= LEAST_READ_S
 
 
-def test_one_measurement_moves_the_estimate_and_does_not_replace_it() -> None:
+def test_one_measurement_adjusts_the_estimate_without_replacing_it() -> None:
     speed = EngineSpeed()
     before = speed.first_s(2000)
     speed.learn_first(2000, 4.0)
--- a/tests/direct/test_limited_engines.py
+++ b/tests/direct/test_limited_engines.py
@@ -1,4 +1,4 @@
-"""Engines that name in their answers how many requests a second they take."""
+"""Engines that advertise in their responses how many requests a second they accept."""
 
 from __future__ import annotations
 
@@ -12,29 +12,29 @@
 """Requests a second over all entries."""
 
 TOLD_S = 0.5
-"""Time after which an entry that passed on an answer is bound by it, in seconds."""
+"""Time after which entries have to keep to a limit in a relayed response, in seconds."""
 
 WINDOW_S = 4.0
 
 
 def worst_window(arrivals: list[float]) -> int:
-    """Return the most arrivals in a span as long as that of the rule."""
+    """Return the largest number of arrivals in a window of the platform's rule."""
     return max(
         (sum(at <= when < at + WINDOW_S for when in arrivals) for at in arrivals), default=0
     )
 
 
 @pytest.mark.parametrize("rate", [1.0, 2.5])
-def test_an_engine_that_names_a_limit_gets_no_more_over_all_entries(rate: float) -> None:
-    # Five entries sent 16 requests in 4 s to an engine that took one a second.
+def test_all_entries_together_keep_to_an_advertised_limit(rate: float) -> None:
+    # Five entries sent 16 requests in 4 s to an engine that accepted one a second.
     fleet = StatingFleet(entries=5, engines=3)
     limited = fleet.engines[0]
     limited.extra = f"Server-Limit: {rate}\r\n".encode()
     fleet.press(per_s=PRESSURE, for_s=1.0)
-    told = time.monotonic()
+    advertised_at = time.monotonic()
     fleet.press(per_s=PRESSURE, for_s=WINDOW_S + TOLD_S + 0.5)
-    arrivals = limited.arrived_since(told + TOLD_S)
+    arrivals = limited.arrived_since(advertised_at + TOLD_S)
     assert worst_window(arrivals) <= 1.5 * rate * WINDOW_S + 5
-    # It asks for so many, not for none.
+    # The limit is not treated as a limit of zero.
     assert len(arrivals) >= rate * WINDOW_S / 2
-    assert fleet.served(told) > 0.95
+    assert fleet.served(advertised_at) > 0.95
--- a/tests/direct/test_send_guard.py
+++ b/tests/direct/test_send_guard.py
@@ -1,4 +1,4 @@
-"""What endpoints that name a limit are sent, by entries in each standing."""
+"""What an endpoint with a rate limit or a back-off is sent, in each coordination mode."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 NOW = 100.0
 WINDOW_S = 4.0
 STEP_S = 0.02
-"""Time between requests, in seconds: more than any limit here lets through."""
+"""Time between requests, in seconds: their rate is above each limit here."""
 
 
 class Deciding:
@@ -45,31 +45,31 @@
         self._numbers = itertools.count()
 
     def row(self, number: int = 0) -> EndpointRow:
-        """Return one of its endpoints."""
+        """Return the row of one of its endpoints."""
         row = self.table.get(f"e-{number}")
         assert row is not None
         return row
 
     def hear(self, rate: float, *, engine: int = 0, at: float = NOW) -> None:
-        """Hear that an endpoint names a limit."""
+        """Receive the rate limit that an endpoint advertises."""
         row = self.row(engine)
         row.stated.limit.take(LimitWord(rate, at - 0.1, at))
         self.table.note_stated(row)
 
     def press(self, now: float) -> bool:
-        """Send a request that ends at once; return whether it found a place."""
+        """Send a request that ends at once; return whether it got a slot."""
         for row in self.peers.rows:
             number = row.digest.number + 1
             self.peers.receive(digest(row.digest.address, number=number), now)
-        one = job(f"j-{next(self._numbers)}", arrived=now, give_up=now)
-        self.dispatcher.submit(one)
-        found = placed(self.dispatcher.pump(now))
-        self.dispatcher.release(one)
-        return bool(found)
+        short_job = job(f"j-{next(self._numbers)}", arrived=now, give_up=now)
+        self.dispatcher.submit(short_job)
+        assigned = placed(self.dispatcher.pump(now))
+        self.dispatcher.release(short_job)
+        return bool(assigned)
 
 
 def alone(count: int, **kwargs: int) -> list[Deciding]:
-    """Return entries of which each decides for itself; one more coordinates."""
+    """Return entries that each decide independently; one more coordinates."""
     addresses = [address(number) for number in range(count + 1)]
     entries = [
         Deciding(number, [*addresses[:number], *addresses[number + 1 :]], **kwargs)
@@ -83,25 +83,25 @@
 
 
 def sends(entries: list[Deciding], for_s: float, *, start: float = NOW) -> list[float]:
-    """Press all entries for a while; return when requests were sent."""
+    """Put all entries under load for a while; return when requests were sent."""
     steps = [start + number * STEP_S for number in range(round(for_s / STEP_S))]
     return [now for now in steps for entry in entries if entry.press(now)]
 
 
 def worst(times: list[float]) -> int:
-    """Return the most sends in a window."""
+    """Return the largest number of sends in a window."""
     return max(
         (sum(at <= when < at + WINDOW_S for when in times) for at in times), default=0
     )
 
 
 def bound(rate: float) -> float:
-    """Return how many requests the rule allows in a window."""
+    """Return how many requests the platform's rule allows in a window."""
     return 1.5 * rate * WINDOW_S + 5
 
 
 @pytest.mark.parametrize("rate", [0.5, 1.0, 7.5, 40.0])
-def test_a_coordinator_sends_about_what_is_asked_for(rate: float) -> None:
+def test_a_coordinator_sends_about_as_much_as_the_limit_allows(rate: float) -> None:
     entry = Deciding(0, [])
     entry.hear(rate)
     times = sends([entry], 20.0)
@@ -111,7 +111,7 @@
 
 @settings(deadline=None, max_examples=20)
 @given(st.sampled_from([0.5, 1.0, 3.0, 12.0]), st.integers(1, 12))
-def test_entries_that_decide_alone_keep_to_it_together(rate: float, count: int) -> None:
+def test_independent_entries_keep_to_the_limit_together(rate: float, count: int) -> None:
     entries = alone(count)
     for entry in entries:
         entry.hear(rate)
@@ -120,16 +120,16 @@
 
 
 @pytest.mark.parametrize("rate", [1.0, 3.0])
-def test_entries_that_lose_their_coordinator_do_not_all_send_at_once(rate: float) -> None:
+def test_entries_that_lose_their_coordinator_do_not_send_in_a_burst(rate: float) -> None:
     entries = alone(28)
     for entry in entries:
         entry.hear(rate, at=NOW - 100.0)
-        # Each has long sent what the coordinator let it send.
+        # Each used its last grant of the coordinator long ago.
         entry.guard.note_send(entry.row(), NOW - 60.0)
     assert worst(sends(entries, 10.0)) <= bound(rate)
 
 
-def test_an_engine_that_takes_none_is_asked_seldom_whether_that_has_ended() -> None:
+def test_an_engine_with_a_limit_of_zero_is_probed_rarely() -> None:
     entry = Deciding(0, [])
     entry.hear(0.0)
     times = sends([entry], 20.0)
@@ -138,7 +138,7 @@
 
 
 @pytest.mark.parametrize("rate", [1.0, 10.0])
-def test_two_that_both_coordinate_for_a_second_stay_below_the_rule(rate: float) -> None:
+def test_two_coordinators_for_a_second_stay_below_the_rule(rate: float) -> None:
     first, second = Deciding(0, []), Deciding(1, [])
     for entry in (first, second):
         entry.hear(rate)
@@ -146,18 +146,18 @@
     assert worst(sorted(times)) <= bound(rate)
 
 
-def test_one_that_begins_to_coordinate_is_not_held_by_its_part() -> None:
+def test_a_new_coordinator_is_not_limited_to_its_former_share() -> None:
     (entry, *_) = alone(5)
     entry.hear(1.0)
     entry.press(NOW)
-    # All others fall silent, and are forgotten.
+    # No digests of the others arrive any more, and their rows expire.
     for row in entry.peers.rows:
         row.heard = NOW - 100.0
     entry.peers.expire(NOW)
     assert len(sends([entry], 4.0, start=NOW + 1.0)) >= 3
 
 
-def test_what_was_sent_before_a_coordinator_was_asked_counts() -> None:
+def test_a_coordinator_counts_sends_from_before_the_first_state() -> None:
     entry = Deciding(0, [])
     entry.hear(1.0)
     for _ in range(3):
@@ -165,43 +165,43 @@
     assert len(sends([entry], 2.0)) == 0
 
 
-def test_a_limit_that_has_ended_holds_nobody_up() -> None:
+def test_a_withdrawn_limit_no_longer_applies() -> None:
     entry = Deciding(0, [])
     entry.hear(1.0)
     entry.row().stated.limit.take(LimitWord(NO_RATE, NOW + 0.1, NOW + 0.2))
     assert len(sends([entry], 1.0, start=NOW + 0.3)) == round(1.0 / STEP_S)
 
 
-def test_a_place_of_one_that_has_not_heard_of_the_limit_is_declined() -> None:
+def test_a_grant_of_a_coordinator_unaware_of_the_limit_is_declined() -> None:
     entry = Deciding(0, [])
     entry.hear(1.0)
     reasons = []
     for step in range(200):
         now = NOW + step * STEP_S
-        held = entry.guard.hold_grant(entry.row(), now)
-        if held is None:
+        block = entry.guard.hold_grant(entry.row(), now)
+        if block is None:
             entry.guard.note_send(entry.row(), now)
-        reasons.append(held.reason if held is not None else None)
+        reasons.append(block.reason if block is not None else None)
     assert 4 <= reasons.count(None) <= bound(1.0)
     assert set(reasons) == {None, HoldReason.LIMITED}
 
 
 def test_a_slower_engine_is_used_while_the_fast_one_is_at_its_limit() -> None:
-    # Streams leave slow engines out where a fast one would be in time, be it full or not.
+    # Streams exclude slow engines if a fast one would meet the deadline, even a full one.
     entry = Deciding(0, [], engines=2)
     for _ in range(40):
         entry.row(0).speed.learn_gap(0.001)
         entry.row(1).speed.learn_gap(1.0)
     entry.hear(1.0)
     now = NOW + 0.1
-    one = job("j", arrived=now, events=100.0)
-    entry.dispatcher.submit(one)
+    stream = job("j", arrived=now, events=100.0)
+    entry.dispatcher.submit(stream)
     (decision,) = entry.dispatcher.pump(now)
     assert isinstance(decision, Placed)
     assert decision.endpoint.id == "e-1"
 
 
-def test_who_would_wait_in_vain_is_refused_at_once_with_the_time_to_come_back() -> None:
+def test_a_job_whose_endpoints_are_limited_for_longer_is_refused_at_once() -> None:
     entry = Deciding(0, [], engines=2)
     for engine in (0, 1):
         entry.hear(0.1, engine=engine)
@@ -213,13 +213,13 @@
 
 
 def rest(entry: Deciding, until: float, *, engine: int = 0) -> None:
-    """Let an endpoint ask an entry for rest."""
+    """Let an endpoint request a back-off from an entry."""
     entry.row(engine).stated.rest_until = until
     entry.table.note_stated(entry.row(engine))
 
 
-def test_an_endpoint_at_rest_towards_one_entry_is_used_by_others() -> None:
-    # The coordinator was asked for rest itself, and gives the place to another entry.
+def test_a_backoff_towards_one_entry_does_not_apply_to_others() -> None:
+    # The back-off applies to the coordinator itself; it grants the slot to another entry.
     entry = Deciding(0, [])
     rest(entry, NOW + 3.0)
     own, other = (job(rid, arrived=NOW, give_up=NOW + 4.0) for rid in ("own", "other"))
@@ -233,19 +233,19 @@
     assert placed(entry.dispatcher.pump(NOW + 3.0)) == ["own"]
 
 
-def test_a_place_that_the_asking_entry_declines_is_given_to_others() -> None:
+def test_a_slot_that_one_client_declines_is_granted_to_another() -> None:
     entry = Deciding(0, [])
     first, second = job("first", arrived=NOW), job("second", arrived=NOW)
     first.for_peer = second.for_peer = True
     first.held_until = {"e-0": NOW + 1.0}
-    for one in (first, second):
-        entry.dispatcher.submit(one)
+    for item in (first, second):
+        entry.dispatcher.submit(item)
     assert placed(entry.dispatcher.pump(NOW)) == ["second"]
     entry.dispatcher.release(second)
     assert placed(entry.dispatcher.pump(NOW + 1.0)) == ["first"]
 
 
-def test_who_meets_only_endpoints_at_rest_comes_back_after_the_least_rest() -> None:
+def test_the_retry_after_is_the_shortest_backoff_of_all_endpoints() -> None:
     entry = Deciding(0, [], engines=2)
     rest(entry, NOW + 5.0, engine=0)
     rest(entry, NOW + 4.0, engine=1)
@@ -256,7 +256,7 @@
     assert decision.refusal.retry_after_s == pytest.approx(4.0)
 
 
-def test_one_who_can_wait_for_the_end_of_a_rest_does() -> None:
+def test_a_job_waits_for_a_backoff_that_ends_in_time() -> None:
     entry = Deciding(0, [])
     rest(entry, NOW + 0.5)
     entry.dispatcher.submit(job("j", arrived=NOW, give_up=NOW + 3.0))
@@ -264,7 +264,7 @@
     assert placed(entry.dispatcher.pump(NOW + 0.5)) == ["j"]
 
 
-def test_the_guard_names_why_an_endpoint_gets_nothing_and_until_when() -> None:
+def test_the_guard_returns_the_reason_and_the_end_of_a_block() -> None:
     entry = Deciding(0, [])
     row = entry.row()
     assert entry.guard.hold(row, NOW) is None
