--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -123,8 +123,8 @@
     Edit(
         "a call to the platform after a failed one does not wait for changes",
         "direct/feeds.py",
-        "        if self.failures:\n            part",
-        "        if False:\n            part",
+        "        if self.failures:\n            fraction",
+        "        if False:\n            fraction",
     ),
     Edit(
         "a call to the platform is held no longer than a change may take",
@@ -159,8 +159,8 @@
     Edit(
         "entries that have just started name all others that they know",
         "direct/peers.py",
-        "return rows if age_s < YOUNG_S else self._turns.take(rows, most)",
-        "return self._turns.take(rows, most)",
+        "return rows if age_s < YOUNG_S else self._turns.take(rows, max_count)",
+        "return self._turns.take(rows, max_count)",
     ),
     Edit(
         "long rounds leave time between them",
@@ -255,7 +255,7 @@
     Edit(
         "of two words on a limit that overlap the stricter counts",
         "direct/stated.py",
-        "if not word.is_after(known) and word.rate > known.rate:",
+        "if not report.is_after(known) and report.rate > known.rate:",
         "if False:",
     ),
     Edit(
@@ -273,7 +273,7 @@
     Edit(
         "what a peer tells of another life changes nothing",
         "direct/notices.py",
-        "if row is None or row.published.born != told.born:",
+        "if row is None or row.published.born != relayed.born:",
         "if row is None:",
     ),
     Edit(
--- a/dockreach/direct/datagrams.py
+++ b/dockreach/direct/datagrams.py
@@ -1,4 +1,4 @@
-"""Bytes of what entries tell each other by datagram."""
+"""Encoding of the messages that entries send each other as datagrams."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from .told_notice import NoticeNews
 
 MAX_DATAGRAM_BYTES = 60_000
-"""Largest message that is sent: a UDP datagram holds 65,507 bytes."""
+"""Largest message that is sent; a UDP datagram holds up to 65,507 bytes."""
 
 Message = Digest | PlacingState | PlacingAnswer | CrashNews | NoticeNews
 
@@ -20,16 +20,16 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return the bytes of a message."""
+    """Encode a message."""
     return _ENCODER.encode(message)
 
 
 def decode(data: bytes) -> Message:
-    """Return the message that the bytes hold.
+    """Decode a message.
 
     Raises:
-        WireError: They hold no valid message.
+        WireError: The bytes are not a valid message.
     """
     return _decoding.decode(
-        _DECODER, data, lambda problem: WireError(f"not a message of an entry: {problem}")
+        _DECODER, data, lambda problem: WireError(f"invalid gossip message: {problem}")
     )
--- a/dockreach/direct/digest.py
+++ b/dockreach/direct/digest.py
@@ -1,4 +1,4 @@
-"""The datagram by which entries tell each other what they have under way."""
+"""The datagrams by which entries report their state to each other."""
 
 from __future__ import annotations
 
@@ -11,36 +11,36 @@
 
 
 class Address(msgspec.Struct, frozen=True, array_like=True):
-    """Where an entry listens for digests, over UDP, and for questions, over TCP."""
+    """Where an entry listens for digests (UDP) and for requests of its peers (TCP)."""
 
     ip: str
     port: int
 
 
 class Digest(msgspec.Struct, array_like=True, tag=1):
-    """What one entry tells others; each replaces the one before it.
+    """The state that one entry reports to the others; each replaces the previous one.
 
     Attributes:
-        incarnation: A random number, drawn at each start.
-        number: Rises with each digest of an incarnation.
-        age_s: Seconds since the start.
-        leaving: Whether the sender is about to end.
-        revision: Number of the configuration in force; 0 for none.
-        fleet_revision: The platform's revision up to which endpoints were read.
-        under_way: Requests under way, by endpoint.
-        spent: Tokens spent by organisation, in steps of time back from now.
-        fleet_spent: Tokens spent by all entries in the window, as the sender sees it;
-            ``None`` where nobody has started lately that would need it.
-        known: Some other entries.
-        capacity: Part of a processor core that the sender may use.
+        incarnation: A random number drawn at each start of the sender.
+        number: Increases with each digest of an incarnation.
+        age_s: Time since the start of the sender, in seconds.
+        leaving: Whether the sender is shutting down.
+        revision: Number of the current configuration; 0 for none.
+        fleet_revision: The platform's revision up to which the endpoint list was read.
+        under_way: Requests in flight from the sender, by endpoint.
+        spent: Tokens used by each organisation, in time buckets back from now.
+        fleet_spent: Tokens used by each organisation over all entries in the window, as the
+            sender knows it; ``None`` unless an entry that needs it has started recently.
+        known: Addresses of some other entries.
+        capacity: Fraction of a processor core that the sender may use.
         hall: The sender's data hall.
-        configuration_age_s: Time since the platform last answered the sender on the
-            configuration, in seconds.
-        endpoints_age_s: The same on endpoints.
-        orders_revision: The platform's revision of the operator's last order, be that a
-            configuration or a data hall to be emptied; 0 for none.
-        suspects: Some requests under which engines ended.
-        notices: What some endpoints say of themselves.
+        configuration_age_s: Time since the platform last answered a call of the sender for
+            the configuration, in seconds.
+        endpoints_age_s: The same for the endpoint list.
+        orders_revision: The platform's revision of the last operator command, either a
+            configuration or the evacuation of a data hall; 0 for none.
+        suspects: Some requests during which engines crashed.
+        notices: Notices of some endpoints, relayed by the sender.
     """
 
     name: str
@@ -65,6 +65,6 @@
 
 
 class CrashNews(msgspec.Struct, array_like=True, tag=4):
-    """Requests under which engines have just ended, or that were answered since."""
+    """Requests during which engines have just crashed, or that were answered since."""
 
     suspects: list[Suspect]
--- a/dockreach/direct/emptied_halls.py
+++ b/dockreach/direct/emptied_halls.py
@@ -1,7 +1,7 @@
-"""Data halls that the operator wants to be empty, by the newest order that was heard of.
+"""Data halls that the operator has evacuated, according to the newest command received.
 
-Load pattern: an order reaches some entries from the platform and others from peers, in any
-order, and may be withdrawn again before all have heard of it.
+Load pattern: a command reaches some entries from the platform and others from peers, in any
+order, and may be withdrawn again before all entries have received it.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 
 
 class EmptiedHalls:
-    """Keeps the endpoints of some data halls from getting work.
+    """Keeps requests away from the endpoints of evacuated data halls.
 
     Args:
-        endpoints: Where jobs can be placed.
+        endpoints: The table that is told which halls are evacuated.
 
     Attributes:
-        revision: The platform's revision up to which orders were read; 0 for none.
-        since: Steady time since which each hall is to be empty here, in seconds.
+        revision: The platform's revision up to which commands were read; 0 for none.
+        since: Monotonic time at which this entry began to evacuate each hall, in seconds.
     """
 
     def __init__(self, endpoints: EndpointTable) -> None:
@@ -27,22 +27,22 @@
         self.since: dict[str, float] = {}
 
     def take(self, halls: frozenset[str], revision: int, now: float) -> bool:
-        """Put orders in force unless they are older than what is known.
+        """Apply the operator's commands unless they are older than those already applied.
 
         Args:
-            halls: All data halls that are to be empty.
-            revision: The platform's revision up to which orders were read.
-            now: Steady time, in seconds.
+            halls: All data halls that are to be evacuated.
+            revision: The platform's revision up to which commands were read.
+            now: Monotonic time, in seconds.
 
         Returns:
-            Whether others should hear of it.
+            Whether the revision is new, so that peers should be told.
         """
         if revision < self.revision:
             return False
-        is_news = revision > self.revision
+        is_newer = revision > self.revision
         self.revision = revision
         if halls != self._endpoints.emptied:
             log(Event.HALLS_EMPTIED, halls=" ".join(sorted(halls)), orders=revision)
             self.since = {hall: self.since.get(hall, now) for hall in halls}
             self._endpoints.empty(halls, now)
-        return is_news
+        return is_newer
--- a/dockreach/direct/endpoints.py
+++ b/dockreach/direct/endpoints.py
@@ -1,4 +1,4 @@
-"""The table of endpoints: what is published of each, and what is measured here."""
+"""The table of endpoints: what the platform publishes and what entries measure."""
 
 from __future__ import annotations
 
@@ -14,45 +14,47 @@
 from .stated import Stated
 
 PLAIN_PRIOR_S = 0.06
-"""Assumed time of a plain request before any is measured, in seconds."""
+"""Assumed duration of a plain (not streamed) request before any is measured, in seconds."""
 
 PACE_EVENTS = 10
-"""Events over which a mean time between them is taken: enough to even out one prompt that
-is read in between."""
+"""Number of events over which their mean interval is taken: enough to even out one prefill
+in between."""
 
 SUSPECT_FIRST_S = 0.5
-"""First time that a failing endpoint is left alone, in seconds; doubles each time. A
-crashed endpoint is published for about three heartbeats longer, some seconds."""
+"""How long the circuit of an endpoint is opened after the first failure, in seconds;
+doubles with each failure in a row up to `MAX_CIRCUIT_OPEN_S`. A crashed endpoint stays
+published for about three more heartbeats, some seconds."""
 
 SUSPECT_MOST_S = 4.0
 
 
 PREFIX_KEPT_S = 30.0
-"""How long a prefix is taken to be kept at the endpoint that read it, in seconds."""
+"""How long the prefix of a prompt is assumed to stay cached at an endpoint, in seconds."""
 
 MOST_SAMPLES = 16
-"""Measurements of an endpoint that are kept until they are told: what one entry measures in
-half a second, where it is told four times a second."""
+"""Maximum number of an endpoint's measurements that wait to be sent: what one entry
+measures in half a second, while measurements are sent four times a second."""
 
 MOST_PREFIXES = 4000
-"""Prompt parts remembered for each endpoint, some 0.4 MB; the oldest are forgotten."""
+"""Maximum number of prompt prefixes kept for each endpoint, some 0.4 MB; the oldest are
+dropped."""
 
 MOST_ENDED = 4096
-"""Lives of endpoints that are remembered after their end, some 0.4 MB; an entry of theirs
-that comes late must not bring them back."""
+"""Maximum number of ended endpoint incarnations that are remembered, some 0.4 MB, so that
+a delayed record of theirs does not bring them back."""
 
 
 @dataclass(frozen=True, slots=True)
 class Published:
-    """What the platform says of one endpoint.
+    """The platform's record of one endpoint.
 
     Attributes:
-        id: Its name; it may start again under it.
-        address: IP number and port.
-        leaving: Whether it takes no new work.
-        born: Unix time of its start by its own clock, in milliseconds; 0 if not told.
-        sequence: Rises with each entry of one start.
-        cold_s: How much longer it is cold by its own word, in seconds.
+        id: Its id, which it keeps when it restarts.
+        address: IP address and port.
+        leaving: Whether it accepts no new requests.
+        born: Unix time of its start by its own clock, in milliseconds; 0 if unknown.
+        sequence: Increases with each record of one incarnation.
+        cold_s: How much longer it is cold, as the endpoint itself reports, in seconds.
     """
 
     id: str
@@ -66,55 +68,61 @@
     cold_s: float = 0.0
 
     def is_older_than(self, known: Published) -> bool:
-        """Return whether this was written before another entry of the same endpoint."""
+        """Return whether this was written before another record of the same endpoint."""
         if self.born != known.born:
             return self.born < known.born
-        # Without a time of start a sequence that falls may be that of a new start.
+        # Without a start time, a lower sequence may be that of a new incarnation.
         return bool(self.born) and self.sequence < known.sequence
 
 
 class Publication(enum.Enum):
-    """What an entry of an endpoint was."""
+    """What publishing a record of an endpoint has changed."""
 
     NEW = enum.auto()
-    """Of an endpoint that was not known."""
+    """The endpoint was not known."""
 
     NEW_LIFE = enum.auto()
-    """Of a new start under the same id."""
+    """The endpoint has restarted under the same id."""
 
     CHANGE = enum.auto()
-    """Of an endpoint that was known."""
+    """The row of a known endpoint was updated."""
 
     STALE = enum.auto()
-    """Older than what is known: nothing was changed."""
+    """The record is older than the known one: nothing was changed."""
 
 
 class Connection(Protocol):
-    """A connection on which an endpoint works for a request of this entry."""
+    """A connection on which an endpoint processes a request of this entry."""
 
     def abort(self) -> None:
-        """Let whoever reads from it fail at once."""
+        """Make reads from the connection fail immediately."""
 
 
 @dataclass(slots=True, eq=False)
 class EndpointRow:
-    """One life of an endpoint, from its start to its end.
+    """One incarnation of an endpoint, from its start to its end.
 
     Attributes:
-        own: Requests of this entry under way there.
-        others: Requests of other entries under way there, as last told.
-        granted: Requests of other entries under way there that have their places from
-            this one.
-        reading: Prompt tokens that are still being read there, of requests that have
-            their places from this entry.
-        speed: What is measured of it as an engine.
-        suspect_until: Steady time until which it gets nothing, in seconds.
+        own: Requests of this entry in flight there.
+        others: Requests of other entries in flight there, as last reported by them.
+        granted: Requests of other entries in flight there in slots granted by this entry.
+        reading: Prompt tokens still in prefill there, of requests in slots granted by this
+            entry.
+        speed: Its measured speed as an engine.
+        plain_s: Mean duration of a plain (not streamed) request, in seconds.
+        suspect_until: Monotonic time until which its circuit is open, so that it is sent no
+            requests, in seconds.
         failures: Failures in a row.
-        is_probed: Whether a request is under way that finds out whether it works again.
-        warmth: What is known of its being cold.
-        sends: Requests that it was sent lately, as far as this entry knows.
-        stated: What is known of it by its own word in answers.
-        conns: Connections on which it works for this entry.
+        is_probed: Whether a half-open probe is in flight: a request that shows whether the
+            endpoint works again.
+        lapsed_until: Monotonic time until which it is kept after its registration expired
+            during a platform outage, in seconds; ``None`` while it is listed.
+        prefixes: Prompt prefixes that it has in its cache, and when each was prefilled.
+        samples: Measurements of this entry that were not yet sent to a coordinator.
+        warmth: Whether it is cold, as far as this entry knows.
+        sends: Requests that were sent to it recently, as far as this entry knows.
+        stated: The state that it advertises in its responses.
+        conns: Connections on which it processes requests of this entry.
     """
 
     published: Published
@@ -142,32 +150,32 @@
 
     @property
     def life(self) -> str:
-        """Names this start of the endpoint, apart from others under its id."""
+        """Identifies this incarnation among all with the same endpoint id."""
         born = self.published.born
         return f"{self.id}/{born}" if born else self.id
 
     @property
     def is_leaving(self) -> bool:
-        """Whether it takes no new work, by the platform's word or by its own."""
+        """Whether it accepts no new requests, as reported by the platform or by itself."""
         return self.published.leaving or self.stated.is_leaving
 
     @property
     def free(self) -> int:
-        """Places not taken, as far as this entry knows; may be negative."""
+        """Free slots, as far as this entry knows; may be negative."""
         return self.published.slots - self.taken
 
     @property
     def may_be_tried(self) -> bool:
-        """Whether the endpoint takes requests; after a failure one goes first."""
+        """Whether a request may be sent: after a failure only one, as a half-open probe."""
         return not self.failures or not self.is_probed
 
     @property
     def taken(self) -> int:
-        """Requests under way, as far as this entry knows."""
+        """Requests in flight, as far as this entry knows."""
         return self.own + self.others + self.granted
 
     def count(self, change: int, *, for_peer: bool) -> None:
-        """Count requests that begin, or end if the change is negative."""
+        """Count requests that start, or that end if the change is negative."""
         self.is_probed = change > 0 and self.failures > 0
         if for_peer:
             self.granted += change
@@ -175,7 +183,7 @@
             self.own += change
 
     def keep_prefix(self, part: str, now: float) -> None:
-        """Note that the endpoint has just read a part of a prompt."""
+        """Record that the endpoint has just prefilled a part of a prompt."""
         self.prefixes.pop(part, None)
         self.prefixes[part] = now
         if len(self.prefixes) > MOST_PREFIXES:
@@ -183,37 +191,37 @@
 
     def is_kept(self, part: str, now: float) -> bool:
         """Return whether a part of a prompt is likely to be in the endpoint's cache."""
-        read = self.prefixes.get(part)
-        return read is not None and now - read <= PREFIX_KEPT_S
+        prefilled_at = self.prefixes.get(part)
+        return prefilled_at is not None and now - prefilled_at <= PREFIX_KEPT_S
 
     def kept_tokens(self, prefix: Iterable[tuple[str, int]], now: float) -> int:
-        """Return the tokens of a prompt that are likely to be in the endpoint's cache."""
-        kept = 0
+        """Return how many tokens of a prompt are likely to be in the endpoint's cache."""
+        cached = 0
         for part, tokens in prefix:
             if not self.is_kept(part, now):
                 break
-            kept += tokens
-        return kept
+            cached += tokens
+        return cached
 
     def measure(self, kind: SampleKind, seconds: float = 0.0, tokens: int = 0) -> None:
-        """Take in what was measured here, and keep it for the entry that gives places.
+        """Record a measurement of this entry, and queue it for the coordinator.
 
         Args:
             kind: What was measured.
-            seconds: The time; 0 for a failure.
-            tokens: Prompt tokens that were read, for a time to a first event.
+            seconds: The duration; 0 for a failure.
+            tokens: Prompt tokens that were prefilled, for a time to a first event.
         """
         self.learn(self._keep(kind, tokens, seconds))
 
     def _keep(self, kind: SampleKind, tokens: int = 0, seconds: float = 0.0) -> Sample:
-        """Keep a measurement until it is told; return it."""
+        """Queue a measurement to be sent; return it."""
         sample = Sample(self.id, kind, tokens, seconds, self.published.born)
         if len(self.samples) < MOST_SAMPLES:
             self.samples.append(sample)
         return sample
 
     def learn(self, sample: Sample) -> None:
-        """Take in a measurement, of this entry or another one."""
+        """Update the means with a measurement, of this entry or another one."""
         if sample.kind is SampleKind.FIRST:
             self.speed.learn_first(sample.tokens, sample.seconds)
         elif sample.kind is SampleKind.GAP:
@@ -222,38 +230,38 @@
             self.plain_s += LEARN * (sample.seconds - self.plain_s)
 
     def failed(self, now: float) -> None:
-        """Leave the endpoint alone for a while, for longer after each failure in a row."""
+        """Record a failure and open the circuit, for longer after each failure in a row."""
         self._keep(SampleKind.FAILED)
         self.suspect(now)
 
     def lose_reach(self, now: float) -> None:
-        """Leave the endpoint alone: no connection came up, and it may have crashed."""
+        """Open the circuit: connecting to the endpoint failed, and it may have crashed."""
         self._keep(SampleKind.OUT_OF_REACH)
         self.warmth.lose_reach()
         self.suspect(now)
 
     def suspect(self, now: float) -> None:
-        """Leave the endpoint alone for a while."""
+        """Open the circuit: send the endpoint no requests for some time (back-off)."""
         wait = min(SUSPECT_FIRST_S * 2**self.failures, SUSPECT_MOST_S)
         self.failures += 1
         self.is_probed = False
         self.suspect_until = now + wait
 
     def lose_address(self, now: float) -> None:
-        """Leave the endpoint alone for long: another one answers at its address.
+        """Take the endpoint for ended: another endpoint answers at its address.
 
-        It does not come back; the platform lists it for some seconds more.
+        It does not recover; the platform lists it for some more seconds.
         """
         self._keep(SampleKind.GONE)
         self.end(now)
 
     def end(self, now: float) -> None:
-        """Take the endpoint for one that has ended."""
+        """Open the circuit for the maximum time: the endpoint has ended."""
         self.suspect(now)
         self.suspect_until = now + SUSPECT_MOST_S
 
     def succeeded(self, now: float) -> None:
-        """Trust the endpoint again."""
+        """Close the circuit: the endpoint works."""
         self.warmth.reach(now)
         self.failures = 0
         self.is_probed = False
@@ -261,10 +269,10 @@
 
 
 class Pace:
-    """Measures the time between a stream's events while it runs.
+    """Measures the mean interval between the events of a running stream.
 
     Args:
-        row: The endpoint that makes them.
+        row: The endpoint that generates them.
     """
 
     def __init__(self, row: EndpointRow) -> None:
@@ -273,7 +281,7 @@
         self._since: float | None = None
 
     def count(self, events: int, now: float) -> None:
-        """Count events that came just now."""
+        """Count events that were just received."""
         if self._since is None:
             self._since = now
             return
@@ -285,10 +293,10 @@
 
 
 class EndpointTable:
-    """All endpoints that are published, by id and by service.
+    """All published endpoints, by id and by service.
 
     Attributes:
-        emptied: Data halls whose endpoints are to get nothing.
+        emptied: Evacuated data halls, whose endpoints are sent no requests.
     """
 
     def __init__(self) -> None:
@@ -309,11 +317,11 @@
         return self._rows.get(endpoint)
 
     def publish(self, published: Published, now: float = -math.inf) -> Publication:
-        """Add an endpoint, or replace what is known of it, unless that is newer.
+        """Add an endpoint or update its row, unless the row is newer.
 
         Args:
-            published: What the platform says of it.
-            now: Steady time, in seconds.
+            published: The platform's record of it.
+            now: Monotonic time, in seconds.
         """
         known = self.last_life(published.id)
         if known is not None and published.is_older_than(known.published):
@@ -328,7 +336,7 @@
             row.warmth.told_until = now + published.cold_s
             if known is not None:
                 row.warmth.guessed_at = now
-                # The same life: what it said of itself holds.
+                # The same incarnation: the state that it advertised still holds.
                 row.stated = known.stated
                 self._stated[row.id] = row
             self._add(row)
@@ -344,13 +352,13 @@
         return Publication.CHANGE
 
     def last_life(self, endpoint: str) -> EndpointRow | None:
-        """Return the row of an endpoint, or its last one if it is gone."""
+        """Return the row of an endpoint, or its last row if it was removed."""
         return self._rows.get(endpoint) or self._ended.get(endpoint)
 
     def _reborn(self, old: EndpointRow, published: Published, now: float) -> EndpointRow:
-        """Return the row of a new life, which holds nothing of the old one.
+        """Return the row of a new incarnation, which inherits only the speed of the old one.
 
-        The machine is the same, so that its speed is a good prior.
+        The machine is the same, so that its speed is a good first estimate.
         """
         self._drop_from_service(old)
         row = EndpointRow(published, speed=replace(old.speed), plain_s=old.plain_s)
@@ -368,7 +376,7 @@
         self._services[row.published.service].pop(row.id, None)
 
     def remove(self, endpoint: str) -> EndpointRow | None:
-        """Take an endpoint off the table; return its row."""
+        """Remove an endpoint from the table; return its row."""
         row = self._rows.pop(endpoint, None)
         if row is not None:
             self._drop_from_service(row)
@@ -377,16 +385,16 @@
         return row
 
     def _remember(self, row: EndpointRow) -> None:
-        """Keep what was last known of an endpoint that is gone, but for its prompts."""
+        """Keep the last row of a removed endpoint, without its cached prefixes."""
         row.prefixes.clear()
         self._ended[row.id] = row
         if len(self._ended) > MOST_ENDED:
             del self._ended[next(iter(self._ended))]
 
     def empty(self, halls: frozenset[str], now: float) -> None:
-        """Give nothing to the endpoints of some data halls, and work to all others.
+        """Set the evacuated data halls; endpoints of all other halls accept requests.
 
-        Those of halls that were emptied before may have become cold meanwhile.
+        Endpoints of halls that were evacuated before may have become cold meanwhile.
         """
         for row in self._rows.values():
             if row.published.hall in self.emptied - halls:
@@ -394,7 +402,7 @@
         self.emptied = halls
 
     def takes_work(self, row: EndpointRow) -> bool:
-        """Return whether an endpoint may be given work at all."""
+        """Return whether an endpoint accepts new requests at all."""
         return not row.is_leaving and row.published.hall not in self.emptied
 
     def of_service(self, service: str) -> list[EndpointRow]:
@@ -402,7 +410,7 @@
         return list(self._services.get(service, {}).values())
 
     def staying(self, service: str, halls: frozenset[str] | None) -> list[EndpointRow]:
-        """Return the endpoints of a service that take work, in some halls or in all."""
+        """Return the endpoints of a service that accept requests, in some halls or in all."""
         return [
             row
             for row in self._services.get(service, {}).values()
@@ -412,48 +420,51 @@
     def usable(
         self, service: str, now: float, halls: frozenset[str] | None = None
     ) -> list[EndpointRow]:
-        """Return the endpoints of a service that may be given work.
+        """Return the endpoints of a service that may be sent requests.
 
-        Where all of them are suspect, all of them may: refusing everything on a guess
-        would be worse than trying.
+        If the circuits of all of them are open, all are returned: refusing every request
+        on a guess would be worse than trying.
 
         Args:
             service: The service.
-            now: Steady time, in seconds.
-            halls: Data halls that they may stand in; ``None`` for all.
+            now: Monotonic time, in seconds.
+            halls: Data halls of the endpoints; ``None`` for all.
         """
-        staying = self.staying(service, halls)
-        trusted = [row for row in staying if row.suspect_until <= now]
-        return trusted or staying
+        accepting = self.staying(service, halls)
+        closed = [row for row in accepting if row.suspect_until <= now]
+        return closed or accepting
 
     def note_stated(self, row: EndpointRow) -> None:
-        """Remember an endpoint as one that says something of itself."""
+        """Remember that an endpoint advertises a state."""
         if self._rows.get(row.id) is row:
             self._stated[row.id] = row
 
     def drop_stated(self, row: EndpointRow) -> None:
-        """Forget an endpoint as one that says something of itself."""
+        """Forget that an endpoint advertised a state."""
         self._stated.pop(row.id, None)
 
     def stated(self) -> list[EndpointRow]:
-        """Return the endpoints that say something of themselves."""
+        """Return the endpoints that advertise a state in their responses."""
         return list(self._stated.values())
 
     def note_send(self, endpoint: str, at: float) -> None:
-        """Count a request that another entry sent at a steady time, in seconds."""
+        """Record a request that another entry sent at a monotonic time, in seconds."""
         row = self._rows.get(endpoint)
         if row is not None:
             row.sends.note(at)
             row.stated.limit.note_send(at)
 
     def late_sends(self, service: str, now: float) -> dict[str, list[float]]:
-        """Return how long ago requests were sent to a service's endpoints, in seconds."""
+        """Return how long ago the recent requests to a service's endpoints were sent.
+
+        Times are in seconds, by endpoint.
+        """
         rows = self._services.get(service, {}).values()
         found = {row.id: row.sends.ages(now) for row in rows}
         return {endpoint: ages for endpoint, ages in found.items() if ages}
 
     def take_samples(self, service: str) -> list[Sample]:
-        """Return what was measured at a service's endpoints since the last call."""
+        """Return and clear the queued measurements of a service's endpoints."""
         samples: list[Sample] = []
         for row in self._services.get(service, {}).values():
             if row.samples:
@@ -462,13 +473,14 @@
         return samples
 
     def learn(self, sample: Sample, now: float) -> None:
-        """Take in what another entry measured.
+        """Merge a measurement of another entry.
 
-        Failures of requests that were under way when the first one failed say nothing
-        more. An endpoint that answers is trusted again.
+        Failures reported while the circuit is open are ignored: their requests were already
+        in flight when the first one failed. A success closes the circuit.
         """
         row = self._rows.get(sample.endpoint)
-        # Bad news of a life before would make the new one suspect for 0.5 s and more.
+        # A failure of the previous incarnation would open the circuit of the new one for 0.5 s
+        # or more.
         if row is None or sample.born not in (0, row.published.born):
             return
         row.learn(sample)
@@ -483,22 +495,22 @@
             row.succeeded(now)
 
     def set_others(self, counts: dict[str, int]) -> None:
-        """Take in how many requests of other entries are under way at each endpoint."""
+        """Set how many requests of other entries are in flight at each endpoint."""
         for row in self._rows.values():
             row.others = counts.get(row.id, 0)
 
     def change_others(self, before: dict[str, int], after: dict[str, int]) -> bool:
-        """Replace what one other entry has under way; return whether places came free.
+        """Replace one peer's requests in flight; return whether slots were released.
 
         Args:
-            before: What it told before, by endpoint.
-            after: What it tells now.
+            before: The counts of its previous digest, by endpoint.
+            after: The counts of its new digest.
         """
-        freed = False
+        has_released = False
         for endpoint in before.keys() | after.keys():
             change = after.get(endpoint, 0) - before.get(endpoint, 0)
             row = self._rows.get(endpoint)
             if row is not None and change:
                 row.others += change
-                freed = freed or change < 0
-        return freed
+                has_released = has_released or change < 0
+        return has_released
--- a/dockreach/direct/fleet.py
+++ b/dockreach/direct/fleet.py
@@ -1,4 +1,4 @@
-"""What operators declare for the direct path: routes, services and organisations."""
+"""Configuration of the direct path: routes, services and organisations."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 
 class Repeat(enum.Enum):
-    """What may be done with a request that was sent and has no whole answer."""
+    """Whether a request that was sent, but has no complete response, may be sent again."""
 
     NEVER = "never"
-    """At most one run for each attempt of the caller."""
+    """It runs at most once for each attempt of the caller."""
 
     FREELY = "freely"
     """It may run any number of times."""
 
     RESUME = "resume"
-    """A stream that another endpoint may go on with after the last whole event."""
+    """A stream that another endpoint can resume after the last complete event."""
 
 
 @dataclass(frozen=True, slots=True)
 class Split:
-    """A service's part of a route's requests.
+    """One service's share of a route's requests.
 
     Attributes:
-        weight: Part of the sum of all weights of the route.
+        weight: The share, relative to the sum of all weights of the route.
     """
 
     service: str
@@ -39,15 +39,16 @@
     """Where requests of one host and path prefix go.
 
     Attributes:
-        prefix: Begins and ends with a slash.
-        is_stream: Whether answers are event streams.
-        timeout_s: Longest time a request may be held, in seconds.
-        objective_s: Time to an answer, or to a stream's first event, in seconds.
-        gap_objective_s: Longest pause between events that is still in time, in seconds.
-        tier: 0 is the highest.
-        max_attempts: Most endpoints that one request may be sent to.
-        is_public: Whether no key is asked for.
-        regions: Where its requests may be run; empty for anywhere.
+        prefix: Path prefix, which begins and ends with a slash.
+        is_stream: Whether responses are event streams.
+        timeout_s: Longest time that a request may take, in seconds.
+        objective_s: Latency objective for the response, or for the first event of a
+            stream, in seconds.
+        gap_objective_s: Latency objective for the gap between events, in seconds.
+        tier: Priority of the requests; 0 is the highest.
+        max_attempts: Maximum number of endpoints that one request may be sent to.
+        is_public: Whether no API key is required.
+        regions: Regions in which its requests may run; empty for all.
     """
 
     name: str
@@ -65,7 +66,7 @@
     regions: frozenset[str] = frozenset()
 
     def service_for(self, rid: str) -> str:
-        """Return the service that a request goes to; the same id gives the same one."""
+        """Return the service that a request goes to; it is always the same for the same id."""
         if len(self.splits) == 1:
             return self.splits[0].service
         total = sum(split.weight for split in self.splits)
@@ -82,10 +83,10 @@
     """A set of endpoints that do the same work.
 
     Attributes:
-        max_connections: Connections that each endpoint accepts from all callers together.
+        max_connections: Connections that each endpoint accepts from all entries together.
         event_tokens: Tokens in one event of a stream.
-        cold_rate: Requests a second that an endpoint bears while it is cold; 0 for no
-            bound.
+        cold_rate: Requests a second that an endpoint can handle while it is cold; 0 for no
+            limit.
         cold_start_s: How long an endpoint is cold after a start, in seconds.
     """
 
@@ -98,14 +99,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Organisation:
-    """A customer with keys and a limit on tokens.
+    """A customer with API keys and a token quota.
 
     Attributes:
-        tier: Goes before the route's tier; ``None`` leaves the route's.
-        rate: Tokens a second over all entries; 0 is no limit.
+        tier: Overrides the route's tier; ``None`` keeps the route's.
+        rate: Tokens a second over all entries; 0 for no limit.
         burst: Tokens on top of the rate.
-        plain_tokens: Tokens that a request without token counts stands for.
-        regions: Where its requests may be run; empty for anywhere.
+        plain_tokens: Tokens charged for a request that states no token counts.
+        regions: Regions in which its requests may run; empty for all.
     """
 
     name: str
@@ -119,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send, in bytes, and how long it may take, in seconds."""
+    """Limits on the size of a caller's requests, in bytes, and on its pauses, in seconds."""
 
     header_bytes: int = 16384
     body_bytes: int = 4 << 20
@@ -129,11 +130,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Revision:
-    """One version of everything that is declared.
+    """One version of the configuration.
 
     Attributes:
-        number: Rises with each version.
-        text: The bytes that it was read from, as peers are given them.
+        number: Increases with each version.
+        text: The bytes that it was decoded from, which are passed on to peers.
     """
 
     number: int
@@ -154,10 +155,10 @@
             self._by_key.update(dict.fromkeys(organisation.keys, organisation))
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins the path."""
+        """Return the route of the host with the longest matching path prefix."""
         routes: Iterable[Route] = self._by_host.get(host.lower(), ())
         return next((route for route in routes if path.startswith(route.prefix)), None)
 
     def organisation_of(self, key: str) -> Organisation | None:
-        """Return whose key this is; ``None`` if it is nobody's."""
+        """Return the organisation that owns an API key; ``None`` if the key is unknown."""
         return self._by_key.get(key)
--- a/dockreach/direct/gossip.py
+++ b/dockreach/direct/gossip.py
@@ -1,4 +1,4 @@
-"""Sends and receives what entries tell each other over UDP."""
+"""Exchanges gossip messages between entries over UDP."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 from .peers import PeerTable
 
 IDLE_S = 0.25
-"""Time between digests while nothing changes, in seconds."""
+"""Interval between digests while nothing changes, in seconds."""
 
 RECV_BYTES = 65536
 
 
 class Gossip:
-    """Exchanges digests with all known entries, and other messages with single ones.
+    """Exchanges digests with all known entries, and other messages with single entries.
 
     Args:
-        own: Where to listen.
-        peers: The table to keep.
+        own_address: Where to listen.
+        peers: The table of peers, whose addresses digests are sent to.
         make_digest: Returns this entry's digest.
-        on_message: Called with each message that came.
+        on_message: Called with each received message.
     """
 
     def __init__(
         self,
-        own: Address,
+        own_address: Address,
         peers: PeerTable,
         make_digest: Callable[[], Digest],
         on_message: Callable[[Message], None],
@@ -43,32 +43,32 @@
         self._on_message = on_message
         self._changed: Any = eventlet.event.Event()
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self._sock.bind((own.ip, own.port))
+        self._sock.bind((own_address.ip, own_address.port))
         self.sent = 0
         self.refused = 0
 
     def start(self) -> None:
-        """Start to send and receive."""
+        """Start sending and receiving."""
         eventlet.spawn(run_forever, self._send_next)
         eventlet.spawn(run_forever, self._receive_next)
 
     def changed(self) -> None:
-        """Send a digest soon."""
+        """Send the next digest as soon as the minimum interval allows."""
         if not self._changed.ready():
             self._changed.send(None)
 
     def send_now(self) -> None:
-        """Send a digest to all known entries."""
+        """Send a digest to all known entries immediately."""
         self.send_all(self._make_digest())
 
     def send_all(self, message: Message) -> None:
-        """Send a message to all known entries; it may be lost on the way to some."""
+        """Send a message to all known entries; datagrams may be lost."""
         data = encode(message)
         for address in self._peers.targets():
             self._send(data, address)
 
     def send(self, message: Message, address: Address) -> None:
-        """Send a message to one entry; it may be lost on the way."""
+        """Send a message to one entry; the datagram may be lost."""
         self._send(encode(message), address)
 
     def _send(self, data: bytes, address: Address) -> None:
@@ -79,7 +79,7 @@
             self._sock.sendto(data, (address.ip, address.port))
             self.sent += 1
         except OSError:
-            # A full or cut link: the next message replaces this one.
+            # The network is congested or down: the next message replaces this one.
             self.refused += 1
 
     def _send_next(self) -> None:
--- a/dockreach/direct/helping.py
+++ b/dockreach/direct/helping.py
@@ -1,4 +1,8 @@
-"""Helps entries that the platform does not serve: they ask a peer that it does serve."""
+"""Fetches the platform's data from a peer that has newer data than this entry.
+
+Entries that cannot reach the platform get its data in this way, and so do entries that
+leave polling the platform to the readers of their data hall.
+"""
 
 from __future__ import annotations
 
@@ -19,32 +23,32 @@
 from .view import View
 
 ROUND_S = 0.25
-"""Time between looks at whether a peer knows more, in seconds."""
+"""Interval between checks for a peer with newer data, in seconds."""
 
 BEHIND_S = 0.4
-"""How long a peer may know a newer configuration before it is asked for it, in seconds.
-Usually the platform itself tells within milliseconds."""
+"""How long a peer may have a newer configuration before it is fetched from the peer, in
+seconds. Usually the platform itself delivers it within milliseconds."""
 
 CONNECT_S = 0.3
 SILENCE_S = 1.0
-"""Longest waits for a peer, for a connection and for the next bytes, in seconds; peers
-answer within milliseconds, and a whole view may take seconds over a narrow link."""
+"""Timeouts for the connection to a peer and for each read from it, in seconds. Peers respond
+within milliseconds, but a whole view may take seconds over a slow network."""
 
 MOST_VIEW_BYTES = 8 << 20
 
 
 @dataclass(slots=True)
 class Knowledge:
-    """What this entry knows, as far as helping is concerned.
+    """The revisions of the platform's data that this entry has.
 
     Attributes:
-        revision: Number of the configuration in force; 0 for none.
-        fleet_revision: The platform's revision up to which endpoints were read.
-        is_cut_off: Whether the platform has not answered for so long that endpoints may
+        revision: Number of the current configuration; 0 for none.
+        fleet_revision: The platform's revision up to which the endpoint list was read.
+        is_cut_off: Whether the platform has not responded for so long that endpoints may
             have changed unnoticed.
-        is_reader: Whether this entry asks the platform itself; else it asks those of its
-            data hall that do.
-        orders_revision: The platform's revision of the operator's last order; 0 for none.
+        is_reader: Whether this entry polls the platform itself; otherwise it fetches the
+            data from the readers of its data hall.
+        orders_revision: The platform's revision of the last operator command; 0 for none.
     """
 
     revision: int
@@ -55,30 +59,30 @@
 
 
 class Helping:
-    """Asks a peer for its view where that peer knows more.
+    """Fetches the view of a peer that has newer data.
 
     Args:
         peers: The other entries.
         hall: The data hall of this entry.
-        knows: Returns what this entry knows.
-        take: Takes a peer's view in.
+        known_revisions: Returns the revisions that this entry has.
+        apply_view: Applies the view of a peer, given its name.
     """
 
     def __init__(
         self,
         peers: PeerTable,
         hall: str,
-        knows: Callable[[], Knowledge],
-        take: Callable[[View, str], None],
+        known_revisions: Callable[[], Knowledge],
+        apply_view: Callable[[View, str], None],
     ) -> None:
         self._peers = peers
         self._hall = hall
-        self._knows = knows
-        self._take = take
+        self._knows = known_revisions
+        self._take = apply_view
         self._behind_since: float | None = None
 
     def start(self) -> None:
-        """Look now and then whether a peer knows more."""
+        """Start checking periodically for a peer with newer data."""
         eventlet.spawn(run_forever, self._look)
 
     def _look(self) -> None:
@@ -88,25 +92,25 @@
             self._ask(peer)
 
     def peer_to_ask(self, now: float) -> PeerRow | None:
-        """Return a peer that knows more than this entry; ``None`` if none does."""
-        knows = self._knows()
+        """Return a peer with newer data to fetch; ``None`` if there is none."""
+        known = self._knows()
         fresh = self._peers.fresh(now)
-        if not knows.is_reader:
+        if not known.is_reader:
             near = [row for row in fresh if row.digest.hall == self._hall]
-            found = _ahead_in_orders(near, knows)
-            found = found or _ahead(near, _fleet_revision, knows.fleet_revision)
+            found = _ahead_in_orders(near, known)
+            found = found or _ahead(near, _fleet_revision, known.fleet_revision)
             if found is not None:
                 return found
-        ahead = _ahead_in_orders(fresh, knows)
+        ahead = _ahead_in_orders(fresh, known)
         if ahead is None:
             self._behind_since = None
         else:
             self._behind_since = self._behind_since or now
-            if not knows.revision or now - self._behind_since > BEHIND_S:
+            if not known.revision or now - self._behind_since > BEHIND_S:
                 return ahead
-        if not knows.is_cut_off and knows.fleet_revision:
+        if not known.is_cut_off and known.fleet_revision:
             return None
-        return _ahead(fresh, _fleet_revision, knows.fleet_revision)
+        return _ahead(fresh, _fleet_revision, known.fleet_revision)
 
     def _ask(self, peer: PeerRow) -> None:
         address = peer.digest.address
@@ -129,18 +133,18 @@
     return row.digest.fleet_revision
 
 
-def _ahead_in_orders(rows: list[PeerRow], knows: Knowledge) -> PeerRow | None:
-    """Return one that knows a newer configuration, or a newer order of the operator."""
-    found = _ahead(rows, _revision, knows.revision)
-    return found or _ahead(rows, _orders_revision, knows.orders_revision)
+def _ahead_in_orders(rows: list[PeerRow], known: Knowledge) -> PeerRow | None:
+    """Return a peer with a newer configuration or a newer operator command."""
+    found = _ahead(rows, _revision, known.revision)
+    return found or _ahead(rows, _orders_revision, known.orders_revision)
 
 
 def _ahead(
     rows: list[PeerRow], revision_of: Callable[[PeerRow], int], known: int
 ) -> PeerRow | None:
-    """Return one of those that know the newest revision, if it is newer than what is known.
+    """Return a peer that has the newest revision, if that is newer than the known one.
 
-    Any of them will do: one that all others ask at once answers late.
+    It is chosen at random: if all entries asked the same peer, it would respond late.
     """
     newest = max(map(revision_of, rows), default=0)
     if newest <= known:
--- a/dockreach/direct/listing.py
+++ b/dockreach/direct/listing.py
@@ -1,7 +1,7 @@
-"""The endpoints as the platform lists them, and what ends with one of them.
+"""Applies the platform's endpoint list, and cleans up after endpoints that are gone.
 
-Load pattern: engines end in series and start again under their ids, with requests under
-way, and all are missing from the list for a moment when the platform comes back.
+Load pattern: engines crash one after another and restart under the same ids while requests
+are in flight, and all are missing from the list for a moment when the platform recovers.
 """
 
 from __future__ import annotations
@@ -12,30 +12,31 @@
 from .endpoints import EndpointRow, Publication, Published
 
 LAPSE_S = 2.2
-"""How long endpoints that vanished while the platform was away are kept, in seconds. The
-platform says that those which live are back about two seconds after its return."""
+"""How long endpoints whose registration expired during a platform outage are kept, in
+seconds. According to the platform, endpoints that still run are listed again about two
+seconds after it has recovered."""
 
 
 class Listing:
-    """Takes in what the platform lists.
+    """Applies the platform's endpoint list to the table of endpoints.
 
     Args:
-        ctx: What the entry knows.
+        ctx: State shared by all requests of the entry.
     """
 
     def __init__(self, ctx: Context) -> None:
         self._ctx = ctx
 
     def take(self, published: Published) -> None:
-        """Add an endpoint, or replace what is known of it."""
+        """Add an endpoint, or update its row."""
         row = self._ctx.endpoints.last_life(published.id)
         was_leaving = row is not None and row.published.leaving
-        found = self._ctx.endpoints.publish(published, clock.now())
-        if found is Publication.STALE:
+        result = self._ctx.endpoints.publish(published, clock.now())
+        if result is Publication.STALE:
             return
-        if found is Publication.NEW_LIFE and row is not None:
+        if result is Publication.NEW_LIFE and row is not None:
             self._end_life(row)
-        if found is not Publication.CHANGE or was_leaving != published.leaving:
+        if result is not Publication.CHANGE or was_leaving != published.leaving:
             log(
                 Event.ENDPOINT_PUBLISHED,
                 endpoint=published.id,
@@ -46,12 +47,12 @@
         self._ctx.scheduler.pump()
 
     def lose(self, endpoint: str, *, after_outage: bool = False) -> None:
-        """Take an endpoint off: the platform says that it has left.
+        """Remove an endpoint that the platform no longer lists.
 
         Args:
             endpoint: Its id.
-            after_outage: Whether it may only have lapsed while the platform was away; it
-                is then kept until it should be back.
+            after_outage: Whether its registration may only have expired during a platform
+                outage; it is then kept for a grace period.
         """
         row = self._ctx.endpoints.get(endpoint)
         if row is None:
@@ -68,8 +69,8 @@
         """Replace the list of endpoints.
 
         Args:
-            published: All that the platform lists.
-            after_outage: Whether entries of living endpoints may be missing.
+            published: All endpoints that the platform lists.
+            after_outage: Whether running endpoints may be missing from the list.
         """
         listed = {item.id for item in published}
         for item in published:
@@ -79,15 +80,15 @@
                 self.lose(row.id, after_outage=after_outage)
 
     def end_lapsed(self, now: float) -> None:
-        """Take off what lapsed while the platform was away and is not back in time."""
+        """Remove lapsed endpoints that were not listed again within the grace period."""
         for row in self._ctx.endpoints:
             if row.lapsed_until is not None and now >= row.lapsed_until:
                 self.lose(row.id)
 
     def _end_life(self, row: EndpointRow) -> None:
-        """End what an endpoint worked on before it started again.
+        """Abort the requests that an endpoint was processing before it restarted.
 
-        Else each of its callers is held to its deadline, or until it gives up.
+        Otherwise each of their callers would wait until its deadline or its own timeout.
         """
         log(Event.ENDPOINT_REBORN, endpoint=row.id, under_way=len(row.conns))
         self._ctx.crashes.ended(row)
--- a/dockreach/direct/notice.py
+++ b/dockreach/direct/notice.py
@@ -1,4 +1,4 @@
-"""What an endpoint says of itself in the head of an answer."""
+"""The status that an endpoint reports of itself in the headers of a response."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 
 class Unreadable(NamedTuple):
-    """Stands where a value would have stood that an endpoint said.
+    """Takes the place of a header value that could not be parsed.
 
     Attributes:
-        name: What the endpoint said it of.
-        value: What it said.
-        problem: Why that is no value.
+        name: Name of the header.
+        value: Its text.
+        problem: Why it is not valid.
     """
 
     name: str
@@ -20,20 +20,20 @@
     problem: str
 
     def __bool__(self) -> bool:
-        """Return ``False``, so that it never passes for a value."""
+        """Return ``False``, so that it is never mistaken for a value that is set."""
         return False
 
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """What an endpoint says of itself in the head of an answer.
+    """The status that an endpoint reports of itself in the headers of a response.
 
     Attributes:
-        rate: Requests a second that it takes from all entries together; ``None`` if it
-            names no limit.
-        is_leaving: Whether it takes no new work until its end.
-        rest_s: Time for which it wants nothing from this entry, in seconds; ``None`` if it
-            does not ask for any.
+        rate: Requests a second that it accepts from all entries together; ``None`` if it
+            reports no limit.
+        is_leaving: Whether it is shutting down and accepts no new requests.
+        rest_s: Time for which this entry should send it no requests (back-off), in
+            seconds; ``None`` if it requests none.
     """
 
     rate: float | None | Unreadable = None
@@ -42,10 +42,10 @@
 
     @property
     def unreadable(self) -> list[Unreadable]:
-        """What it said that is no value."""
-        said = (self.rate, self.is_leaving, self.rest_s)
-        return [value for value in said if isinstance(value, Unreadable)]
+        """The values that could not be parsed."""
+        values = (self.rate, self.is_leaving, self.rest_s)
+        return [value for value in values if isinstance(value, Unreadable)]
 
 
 NO_NOTICE = Notice()
-"""Of an answer that says nothing of its endpoint."""
+"""The notice of a response without status headers."""
--- a/dockreach/direct/notices.py
+++ b/dockreach/direct/notices.py
@@ -1,4 +1,4 @@
-"""Takes in what endpoints say of themselves in answers, and tells the other entries."""
+"""Applies the notices that endpoints send in responses, and relays them to other entries."""
 
 from __future__ import annotations
 
@@ -16,36 +16,37 @@
 from .turns import Turns
 
 MOST_TOLD = 16
-"""Endpoints of which a digest tells, some 50 bytes each; others each time."""
+"""Maximum number of notices in a digest, some 50 bytes each; endpoints take turns."""
 
 ENDED_TOLD_S = 10.0
-"""How long digests tell that a limit has ended, in seconds: an entry that heard of the
-limit and not of its end would keep to it until its own next answer."""
+"""How long digests report that a limit has ended, in seconds: an entry that received the
+limit but not its end would apply it until the next response it receives itself."""
 
 TELL_GAP_S = 0.5
-"""Least time between two messages to all about one endpoint, in seconds, unless its word is
-stricter than what was told. Digests tell the rest."""
+"""Minimum time between two messages to all entries about one endpoint, in seconds, unless
+its notice is stricter than the last one announced. Digests report the rest."""
 
 TOLD_AGAIN_S = 0.5
-"""How much later a peer must have heard the word that is known, in seconds, to count as
-having heard it again. What is told takes a moment on its way, and these would add up."""
+"""How much later than the known report a peer must have received the same rate, in seconds,
+for it to count as a new report. Messages are delayed a little on each way, and without
+this tolerance the delays would add up and keep making an old report look newer."""
 
 MOST_REST_S = 3600.0
-"""Longest rest that an endpoint is left, in seconds; more is taken for a slip."""
+"""Longest back-off that is honoured, in seconds; a longer one is taken for a mistake."""
 
 MOST_REFUSED = 1024
-"""Values that are remembered so that they are reported once."""
+"""Maximum number of announcements, and of invalid values already logged, that are kept."""
 
 
 class _Told(NamedTuple):
-    """What all others were last told at once of one endpoint, and when."""
+    """The last message sent to all entries about one endpoint."""
 
     at: float
     rate: float
     is_leaving: bool
 
     def is_urgent_after(self, last: _Told) -> bool:
-        """Return whether this is told at once, after another one."""
+        """Return whether this is to be sent immediately, given the last one sent."""
         is_stricter = self.rate < last.rate or self.is_leaving > last.is_leaving
         return is_stricter or self.at - last.at >= TELL_GAP_S
 
@@ -54,14 +55,14 @@
 
 
 class Notices:
-    """What endpoints say of themselves, from answers and from other entries.
+    """Tracks the notices of endpoints, from responses and from other entries.
 
     Args:
-        endpoints: Of which it is kept.
-        name: This entry's.
-        send_all: Tells all other entries.
-        on_change: Called when an endpoint has begun or ceased to take work.
-        clock: Returns the time, in seconds.
+        endpoints: The table whose rows keep the advertised state.
+        name: Name of this entry.
+        send_all: Sends a message to all other entries.
+        on_change: Called when an endpoint accepts more or fewer requests than before.
+        clock: Returns the monotonic time, in seconds.
     """
 
     def __init__(
@@ -82,17 +83,17 @@
         self._refused: LRUCache[tuple[str, Unreadable], bool] = LRUCache(MOST_REFUSED)
 
     def hear(self, row: EndpointRow, notice: Notice, *, asked: float, rid: str) -> None:
-        """Take in what an endpoint said in an answer.
+        """Apply the notice of a response.
 
         Args:
-            row: The life that answered.
-            notice: What it said.
-            asked: Steady time at which the request was sent, in seconds; minus infinity
-                if that is not known.
-            rid: Of the request.
+            row: The endpoint incarnation that responded.
+            notice: The notice in its headers.
+            asked: Monotonic time at which the request was sent, in seconds; minus
+                infinity if unknown.
+            rid: Id of the request.
         """
-        for said in notice.unreadable:
-            self._refuse(row, said)
+        for invalid in notice.unreadable:
+            self._refuse(row, invalid)
         now = self._clock()
         changed = self._hear_rate(row, notice, asked, now, rid)
         if notice.is_leaving and not row.stated.is_leaving:
@@ -113,21 +114,27 @@
         return self._take_word(row, LimitWord(rate, asked, now), rid=rid)
 
     def _take_word(
-        self, row: EndpointRow, word: LimitWord, *, rid: str = "", peer: str = ""
+        self, row: EndpointRow, report: LimitWord, *, rid: str = "", peer: str = ""
     ) -> bool:
-        """Put a word on the rate in force; return whether it changes the rate."""
-        if not row.stated.limit.take(word):
+        """Apply a report of the rate; return whether the rate has changed."""
+        if not row.stated.limit.take(report):
             return False
         self._endpoints.note_stated(row)
-        if word.rate == NO_RATE:
+        if report.rate == NO_RATE:
             log(Event.ENDPOINT_LIMIT_ENDED, endpoint=row.id, rid=rid, peer=peer)
         else:
-            log(Event.ENDPOINT_LIMITED, endpoint=row.id, rate=word.rate, rid=rid, peer=peer)
+            log(
+                Event.ENDPOINT_LIMITED,
+                endpoint=row.id,
+                rate=report.rate,
+                rid=rid,
+                peer=peer,
+            )
         self._on_change()
         return True
 
     def _leave(self, row: EndpointRow, *, rid: str = "", peer: str = "") -> bool:
-        """Note that an endpoint leaves; return whether the platform does not say so."""
+        """Mark an endpoint as leaving; return whether the platform has not said so."""
         row.stated.is_leaving = True
         if row.published.leaving:
             return False
@@ -137,7 +144,7 @@
         return True
 
     def _rest(self, row: EndpointRow, rest_s: float, now: float, rid: str) -> None:
-        """Leave an endpoint alone for as long as it asks; a shorter word ends nothing."""
+        """Back off for as long as the endpoint asks; a shorter back-off does not end a longer one."""
         was_resting = row.stated.rest_until > now
         until = now + min(rest_s, MOST_REST_S)
         row.stated.rest_until = max(row.stated.rest_until, until)
@@ -145,71 +152,71 @@
         if not was_resting:
             log(Event.ENDPOINT_RESTS, endpoint=row.id, rest_s=rest_s, rid=rid)
 
-    def _refuse(self, row: EndpointRow, said: Unreadable) -> None:
-        if (row.id, said) in self._refused:
+    def _refuse(self, row: EndpointRow, invalid: Unreadable) -> None:
+        if (row.id, invalid) in self._refused:
             return
-        self._refused[row.id, said] = True
+        self._refused[row.id, invalid] = True
         log(
             Event.NOTICE_REFUSED,
-            said.problem,
+            invalid.problem,
             endpoint=row.id,
-            header=said.name,
-            value=said.value,
+            header=invalid.name,
+            value=invalid.value,
         )
 
     def _tell(self, row: EndpointRow, now: float) -> None:
-        news = _Told(now, row.stated.limit.word.rate, row.stated.is_leaving)
-        if news.is_urgent_after(self._told.get(row.life, _UNTOLD)):
-            self._told[row.life] = news
+        current = _Told(now, row.stated.limit.word.rate, row.stated.is_leaving)
+        if current.is_urgent_after(self._told.get(row.life, _UNTOLD)):
+            self._told[row.life] = current
             self._send_all(NoticeNews(self._name, [_told(row, now)]))
 
     def take(self, notices: list[ToldNotice], peer: str) -> None:
-        """Take in what another entry tells."""
+        """Merge notices that another entry relays."""
         now = self._clock()
-        for told in notices:
-            row = self._endpoints.get(told.endpoint)
-            if row is None or row.published.born != told.born:
+        for relayed in notices:
+            row = self._endpoints.get(relayed.endpoint)
+            if row is None or row.published.born != relayed.born:
                 continue
-            rate = NO_RATE if told.rate is None else told.rate
-            word = LimitWord(rate, now - told.asked_s, now - told.heard_s)
+            rate = NO_RATE if relayed.rate is None else relayed.rate
+            report = LimitWord(rate, now - relayed.asked_s, now - relayed.heard_s)
             known = row.stated.limit.word
-            if rate != known.rate or word.heard > known.heard + TOLD_AGAIN_S:
-                self._take_word(row, word, peer=peer)
-            if told.is_leaving and not row.stated.is_leaving:
+            if rate != known.rate or report.heard > known.heard + TOLD_AGAIN_S:
+                self._take_word(row, report, peer=peer)
+            if relayed.is_leaving and not row.stated.is_leaving:
                 self._leave(row, peer=peer)
 
     def tell_some(self) -> list[ToldNotice]:
-        """Return what a digest tells: some endpoints, others each time."""
+        """Return notices for a digest: those of some endpoints, in round-robin order."""
         now = self._clock()
         rows = [row for row in self._endpoints.stated() if _is_to_tell(row, now)]
         return [_told(row, now) for row in self._turns.take(rows, MOST_TOLD)]
 
     def expire(self, now: float) -> None:
-        """Note rests that are over, and forget endpoints that say nothing any more."""
+        """End back-offs that have passed, and unmark endpoints that advertise nothing any more."""
         for row in self._endpoints.stated():
-            stated = row.stated
-            if -math.inf < stated.rest_until <= now:
-                stated.rest_until = -math.inf
+            state = row.stated
+            if -math.inf < state.rest_until <= now:
+                state.rest_until = -math.inf
                 log(Event.ENDPOINT_REST_ENDED, endpoint=row.id)
-            if stated.rest_until <= now and not _is_to_tell(row, now):
+            if state.rest_until <= now and not _is_to_tell(row, now):
                 self._endpoints.drop_stated(row)
 
 
 def _is_to_tell(row: EndpointRow, now: float) -> bool:
     limit = row.stated.limit
     has_ended = not limit.is_on and now - limit.word.heard < ENDED_TOLD_S
-    # What the platform says is known to all.
+    # All entries already know what the platform lists as leaving.
     is_leaving = row.stated.is_leaving and not row.published.leaving
     return limit.is_on or has_ended or is_leaving
 
 
 def _told(row: EndpointRow, now: float) -> ToldNotice:
-    word = row.stated.limit.word
+    report = row.stated.limit.word
     return ToldNotice(
         endpoint=row.id,
         born=row.published.born,
-        rate=None if word.rate == NO_RATE else word.rate,
-        asked_s=now - word.asked,
-        heard_s=now - word.heard,
+        rate=None if report.rate == NO_RATE else report.rate,
+        asked_s=now - report.asked,
+        heard_s=now - report.heard,
         is_leaving=row.stated.is_leaving,
     )
--- a/dockreach/direct/peers.py
+++ b/dockreach/direct/peers.py
@@ -1,4 +1,4 @@
-"""Which other entries there are, and what each told last."""
+"""The table of other entries, with the last digest received from each."""
 
 from __future__ import annotations
 
@@ -10,42 +10,46 @@
 from .turns import Turns
 
 FRESH_S = 0.8
-"""A peer that was silent for longer may be cut off, in seconds: three idle digests."""
+"""A peer not heard from for longer may be unreachable, in seconds: three intervals between
+idle digests."""
 
 FRESH_GAPS = 4
-"""Digests of a peer that may be missing before it counts as silent, where there are so many
-peers that digests come seldom."""
+"""Intervals without a digest after which a peer counts as silent, where there are so many
+peers that digests are sent rarely."""
 
 GAP_S = 0.05
-"""Least time between digests, in seconds. A view as old as this was as good as a fresh
-one in trials."""
+"""Minimum time between digests, in seconds. Decisions made on data of this age are as good
+as decisions made on fresh data."""
 
 GAP_PER_PEER_S = 0.01
-"""Least time between digests for each peer that they go to, in seconds: bounds an entry
-to 100 datagrams a second however many entries there are."""
+"""Minimum time between digests per receiving peer, in seconds: limits an entry to 100
+datagrams a second regardless of the number of entries."""
 
 SILENT_S = 30.0
-"""A silent peer is taken as gone after this time, in seconds. Until then a part of each
-limit stays set aside for it, since it may go on serving where it is not heard."""
+"""A silent peer is removed after this time, in seconds. Until then part of each limit stays
+reserved for it, since it may still be serving callers behind a network partition."""
 
 DELAY_S = 0.02
-"""Longest delay of a datagram that is told apart from a restart, in seconds."""
+"""Assumed maximum delay of a datagram, in seconds. A start time that differs by more is
+taken for a restart."""
 
 MOST_PEERS = 512
-"""Rows that are kept; letter 1 speaks of 380 daemons."""
+"""Maximum number of peers in the table; the specification asks for 380 daemons."""
 
 MOST_TOLD = 8
-"""Addresses of others in one digest: enough for a newcomer to find all in a few."""
+"""Maximum number of other entries' addresses in one digest: enough for a new entry to
+discover all of them within a few digests."""
 
 FEW_TOLD = 2
-"""The same while nobody has started lately: what was missed is told in time. An address is
-a fortieth of a digest."""
+"""The same while no entry has started recently: a missed address is repeated in a later
+digest. An address takes a fortieth of a digest."""
 
 YOUNG_S = 10.0
-"""Age up to which an entry names all others that it knows in a digest, in seconds. Where
-150 entries start together, limits are else exceeded by up to nine tenths of their bound in
-the first seconds (cores alone, five times the limit asked for): most do not know most
-others yet, and do not count what these spend. An address takes some 16 bytes."""
+"""Age up to which an entry lists all peers that it knows in each digest, in seconds.
+Otherwise, where 150 entries start together, quotas are exceeded by up to nine tenths of
+their bound in the first seconds (seen with the quota logic alone, at five times the load
+that the quota allows): most entries do not know most others yet, and do not count their
+usage. An address takes some 16 bytes."""
 
 
 @dataclass(slots=True)
@@ -53,7 +57,7 @@
     """One other entry.
 
     Attributes:
-        heard: Steady time of its last digest, in seconds.
+        heard: Monotonic time at which its last digest was received, in seconds.
     """
 
     digest: Digest
@@ -62,11 +66,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Heard:
-    """What a digest changes.
+    """The result of merging a received digest.
 
     Attributes:
-        is_news: Whether it is newer than what was known.
-        before: What was known of the same peer.
+        is_news: Whether the digest is newer than the one in the table.
+        before: The previous row of the same peer; ``None`` for a new peer.
     """
 
     is_news: bool
@@ -74,10 +78,15 @@
 
 
 class PeerTable:
-    """Other entries by address."""
+    """Other entries by address.
 
-    def __init__(self, own: Address, seeds: Iterable[Address]) -> None:
-        self.own = own
+    Args:
+        own_address: The address of this entry.
+        seeds: Addresses of entries from the settings.
+    """
+
+    def __init__(self, own_address: Address, seeds: Iterable[Address]) -> None:
+        self.own = own_address
         self.seeds = tuple(seeds)
         self._rows: dict[Address, PeerRow] = {}
         self._hinted: dict[Address, float] = {}
@@ -88,47 +97,47 @@
 
     @property
     def is_single(self) -> bool:
-        """Whether no other entry is known, nor named by the settings."""
+        """Whether no other entry is known or listed in the settings."""
         return not self._rows and all(seed == self.own for seed in self.seeds)
 
     @property
     def gap_s(self) -> float:
-        """The least time between two digests, in seconds."""
+        """The minimum time between two digests, in seconds."""
         return max(GAP_S, GAP_PER_PEER_S * len(self._rows))
 
     @property
     def _fresh_s(self) -> float:
-        """How long ago a peer may have been heard to count as heard, in seconds."""
+        """Maximum age of the last digest of a peer that counts as fresh, in seconds."""
         return max(FRESH_S, FRESH_GAPS * self.gap_s)
 
     def is_fresh(self, row: PeerRow, now: float) -> bool:
-        """Return whether a peer was heard lately."""
+        """Return whether a digest of the peer was received recently."""
         return now - row.heard <= self._fresh_s
 
     def fresh(self, now: float) -> list[PeerRow]:
-        """Return the peers that were heard lately."""
+        """Return the peers from which a digest was received recently."""
         limit_s = self._fresh_s
         return [row for row in self._rows.values() if now - row.heard <= limit_s]
 
     @property
     def rows(self) -> list[PeerRow]:
-        """All peers that are not known to be gone."""
+        """All peers that have neither left nor timed out."""
         return list(self._rows.values())
 
     @property
     def unheard(self) -> int:
-        """How many others are known by name only: they have told nothing yet."""
+        """How many entries are known by address only: no digest was received from them yet."""
         return len(self.targets()) - len(self._rows)
 
     def targets(self) -> list[Address]:
-        """Return whom to send the next digest to."""
+        """Return the addresses to send the next digest to."""
         found = dict.fromkeys(seed for seed in self.seeds if seed != self.own)
         found.update(dict.fromkeys(self._rows))
         found.update(dict.fromkeys(self._hinted))
         return list(found)
 
     def receive(self, digest: Digest, now: float) -> Heard:
-        """Take in a digest; say what it changes."""
+        """Merge a received digest into the table; return what it changed."""
         if digest.address == self.own:
             return Heard(is_news=False)
         self._hint(digest.known, now)
@@ -138,12 +147,12 @@
                 self._rows[digest.address] = PeerRow(digest, now)
             self._hinted.pop(digest.address, None)
             return Heard(is_news=True)
-        before = PeerRow(row.digest, row.heard)
-        if not _is_newer(digest, before, now):
+        previous = PeerRow(row.digest, row.heard)
+        if not _is_newer(digest, previous, now):
             return Heard(is_news=False)
         row.digest = digest
         row.heard = now
-        return Heard(is_news=True, before=before)
+        return Heard(is_news=True, before=previous)
 
     def _hint(self, addresses: Iterable[Address], now: float) -> None:
         for address in addresses:
@@ -153,7 +162,7 @@
                 self._hinted.setdefault(address, now)
 
     def expire(self, now: float) -> list[PeerRow]:
-        """Forget peers that left or were silent for long; return their rows."""
+        """Remove peers that left or timed out; return their rows."""
         gone = []
         for address, row in list(self._rows.items()):
             limit = FRESH_S if row.digest.leaving else SILENT_S
@@ -165,48 +174,48 @@
         return gone
 
     def told(self, age_s: float) -> list[Address]:
-        """Return the peers to name in a digest: some, others each time.
+        """Return the peers to list in a digest: some of them, in round-robin order.
 
         Args:
-            age_s: Age of this entry, in seconds; a young one names all.
+            age_s: Age of this entry, in seconds; one that started recently lists all.
         """
         rows = list(self._rows)
-        most = MOST_TOLD if self.has_young else FEW_TOLD
-        return rows if age_s < YOUNG_S else self._turns.take(rows, most)
+        max_count = MOST_TOLD if self.has_young else FEW_TOLD
+        return rows if age_s < YOUNG_S else self._turns.take(rows, max_count)
 
     @property
     def has_young(self) -> bool:
-        """Whether another entry has started lately, as far as it has told."""
+        """Whether any peer has started recently, according to its digest."""
         return any(row.digest.age_s < YOUNG_S for row in self._rows.values())
 
     def under_way(
         self,
         now: float,
-        counted: Callable[[Digest], dict[str, int]] = attrgetter("under_way"),
+        in_flight_of: Callable[[Digest], dict[str, int]] = attrgetter("under_way"),
     ) -> dict[str, int]:
-        """Return the requests of all fresh peers, by endpoint.
+        """Return the requests in flight from all fresh peers, by endpoint.
 
         Args:
-            now: Steady time, in seconds.
-            counted: Returns what counts of a peer's digest; all of it if left out.
+            now: Monotonic time, in seconds.
+            in_flight_of: Returns the requests of a digest to count; by default all.
         """
         counts: dict[str, int] = {}
         for row in self.fresh(now):
-            for endpoint, count in counted(row.digest).items():
+            for endpoint, count in in_flight_of(row.digest).items():
                 counts[endpoint] = counts.get(endpoint, 0) + count
         return counts
 
     def silent(self, now: float) -> list[PeerRow]:
-        """Return peers that may go on serving where they are not heard."""
+        """Return peers that may still be serving but whose digests do not arrive."""
         limit_s = self._fresh_s
-        quiet = [row for row in self._rows.values() if now - row.heard > limit_s]
-        return [row for row in quiet if not row.digest.leaving]
+        silent = [row for row in self._rows.values() if now - row.heard > limit_s]
+        return [row for row in silent if not row.digest.leaving]
 
 
 def _is_newer(digest: Digest, row: PeerRow, now: float) -> bool:
-    """Return whether a digest is newer than the one that is known.
+    """Return whether a digest is newer than the one in a row.
 
-    Incarnations are told apart by their ages and not by the time of day, which may jump.
+    Incarnations are compared by age and not by the time of day, which may jump.
     """
     if digest.incarnation == row.digest.incarnation:
         return digest.number > row.digest.number
--- a/dockreach/direct/readers.py
+++ b/dockreach/direct/readers.py
@@ -1,10 +1,11 @@
-"""Which entries read the platform for the others, and when the others ask it themselves.
-
-Load pattern: many entries, each of which would hold two calls to the platform at all times,
-for changes that are few. Some entries of each data hall read; the others hear from them
-which revisions are newest, and ask the platform themselves only when nobody has confirmed
-lately that what they know is the newest. No entry trusts hearsay: what counts is when the
-platform itself answered the entry that tells.
+"""Selects the entries that poll the platform for the others (readers).
+
+Load pattern: many entries, each of which would keep two calls to the platform open at all
+times, although changes are rare. A few entries of each data hall, the readers, poll; the
+others learn the newest revisions from their digests, and call the platform themselves only
+when no peer has recently confirmed that their copy is the newest. Only first-hand
+confirmation counts: the time at which the platform itself answered the peer that sends the
+digest.
 """
 
 from __future__ import annotations
@@ -18,27 +19,29 @@
 from .peers import PeerRow, PeerTable
 
 READERS = 2
-"""Entries of a data hall that read: one may be killed, hang or be cut off unnoticed for a
-moment. Small fleets have hardly more in a hall, and all of them read."""
+"""Number of readers in each data hall: one of them may crash, hang or be unreachable
+unnoticed for a moment. Small deployments have hardly more entries in a hall, so that all of
+them are readers."""
 
 TRUST_PART = 0.7
-"""Part of the time in which a change must be in force for which a peer's word counts, from
-when the platform answered it: longer than readers wait for a change (six tenths), since two
-of them may ask in step. The rest is for a call of one's own."""
+"""How long a peer's confirmation is trusted from the moment at which the platform answered
+it, as a fraction of the time within which a change must be applied. It is longer than the
+readers' long poll (six tenths), since two of them may poll in step. The remaining time is
+enough for a call by this entry."""
 
 BEHIND_PART = 0.2
-"""How long others may know something newer before the platform is asked, as a part of the
-same time. Fetching it from an entry of the data hall takes some 10 ms from when that one's
-digest has come, and digests come each 0.7 s where there are 68 entries."""
+"""How long peers may have a newer revision before the platform is called, as a fraction of
+the same time. Fetching it from a peer in the data hall takes some 10 ms after the digest of
+that peer has arrived, and with 68 entries digests arrive every 0.7 s."""
 
 
 @dataclass(frozen=True, slots=True)
 class Part:
-    """One part of what the platform publishes, as digests tell of it.
+    """One part of the platform's data, as digests report on it.
 
     Attributes:
-        revision_of: Returns the revision that a digest tells.
-        age_of: Returns how long before the digest the platform had answered its sender, in
+        revision_of: Returns the revision that a digest reports.
+        age_of: Returns how long before the digest the platform last answered its sender, in
             seconds.
     """
 
@@ -58,7 +61,7 @@
 
 
 class Readers:
-    """Says whether this entry is to ask the platform.
+    """Decides whether this entry has to call the platform.
 
     Args:
         peers: The other entries.
@@ -71,7 +74,7 @@
         self._behind: dict[Part, float] = {}
 
     def is_reader(self, now: float) -> bool:
-        """Return whether this entry reads for others of its data hall."""
+        """Return whether this entry polls the platform for others of its data hall."""
         near = [
             row.digest.address
             for row in self._peers.fresh(now)
@@ -83,14 +86,14 @@
     def may_skip_call(
         self, part: Part, feed: Feed, revision: int, in_force_s: float, now: float
     ) -> bool:
-        """Return whether nothing need be asked now, since others read.
+        """Return whether the platform need not be called now, since readers poll it.
 
         Args:
-            part: What would be asked for.
-            feed: How fresh this entry's own knowledge of it is.
-            revision: The newest that this entry knows.
-            in_force_s: Time in which a change must be in force, in seconds.
-            now: Steady time, in seconds.
+            part: The part that would be requested.
+            feed: This entry's own calls for that part.
+            revision: The newest revision of it that this entry has.
+            in_force_s: Time within which a change must be applied, in seconds.
+            now: Monotonic time, in seconds.
         """
         if not revision or feed.failures or self.is_reader(now):
             return False
@@ -105,7 +108,7 @@
     def _behind_s(
         self, part: Part, revision: int, fresh: list[PeerRow], now: float
     ) -> float:
-        """Return for how long a peer has known something newer, in seconds."""
+        """Return for how long peers have had a newer revision, in seconds."""
         newest = max((part.revision_of(row.digest) for row in fresh), default=0)
         if newest <= revision:
             self._behind.pop(part, None)
--- a/dockreach/direct/stated.py
+++ b/dockreach/direct/stated.py
@@ -1,7 +1,8 @@
-"""What is known of one endpoint by its own word.
+"""The state that one endpoint advertises in its responses.
 
-Load pattern: an endpoint in need tells several entries on several connections, in answers
-that overlap, overtake each other, and are minutes apart once it gets less.
+Load pattern: an overloaded endpoint sends notices to several entries on several
+connections, in responses that overlap, arrive out of order, and are minutes apart once it
+receives fewer requests.
 """
 
 from __future__ import annotations
@@ -10,22 +11,22 @@
 from dataclasses import dataclass, field
 
 NO_RATE = math.inf
-"""Of an endpoint that names no limit, in requests a second."""
+"""Rate of an endpoint that reports no limit, in requests a second."""
 
 LEAST_RATE = 0.25
-"""Requests a second that are sent to an endpoint that takes fewer, or none: only an answer
-tells that its limit has ended."""
+"""Requests a second that are sent to an endpoint even if it accepts fewer or none: only a
+response can show that its limit has ended."""
 
 
 @dataclass(frozen=True, slots=True)
 class LimitWord:
-    """What one answer said of a limit.
+    """The rate limit reported in one response.
 
     Attributes:
         rate: Requests a second from all entries together.
-        asked: Steady time at which the answered request was sent, in seconds; the endpoint
-            cannot have said it earlier.
-        heard: Steady time at which the answer was read, in seconds.
+        asked: Monotonic time at which the request of that response was sent, in seconds;
+            the endpoint cannot have made the report earlier.
+        heard: Monotonic time at which the response was received, in seconds.
     """
 
     rate: float = NO_RATE
@@ -33,18 +34,18 @@
     heard: float = -math.inf
 
     def is_after(self, other: LimitWord) -> bool:
-        """Return whether the endpoint certainly said this after the other word."""
+        """Return whether the endpoint certainly made this report after the other one."""
         return self.asked >= other.heard
 
 
 @dataclass(slots=True)
 class SendLimit:
-    """The rate that one endpoint takes, and when the next request is due.
+    """The rate that one endpoint accepts, and when the next request may be sent.
 
     Attributes:
-        word: The word in force.
-        due: Steady time at which the next request of all entries is due, as far as this
-            one knows, in seconds; ``None`` if that was not asked since the rate changed.
+        word: The report that currently applies.
+        due: Monotonic time from which the next request of any entry may be sent, as far as
+            this entry knows, in seconds; ``None`` if not computed since the rate changed.
     """
 
     word: LimitWord = LimitWord()
@@ -52,24 +53,27 @@
 
     @property
     def is_on(self) -> bool:
-        """Whether the endpoint names a limit."""
+        """Whether the endpoint reports a limit."""
         return self.word.rate < NO_RATE
 
-    def take(self, word: LimitWord) -> bool:
-        """Take in a word; return whether the rate is another one now.
+    def take(self, report: LimitWord) -> bool:
+        """Apply a report; return whether the rate has changed.
 
-        Where it cannot be told which of two words is the newer one, the stricter counts.
+        Where it is not certain which of two reports is newer, the lower rate applies.
         """
         known = self.word
-        if known.is_after(word) and not word.is_after(known):
+        if known.is_after(report) and not report.is_after(known):
             return False
-        if word.rate == known.rate:
-            asked, heard = max(word.asked, known.asked), max(word.heard, known.heard)
-            self.word = LimitWord(word.rate, asked, heard)
+        if report.rate == known.rate:
+            sent_at, received_at = (
+                max(report.asked, known.asked),
+                max(report.heard, known.heard),
+            )
+            self.word = LimitWord(report.rate, sent_at, received_at)
             return False
-        if not word.is_after(known) and word.rate > known.rate:
+        if not report.is_after(known) and report.rate > known.rate:
             return False
-        self.word = word
+        self.word = report
         self.due = None
         return True
 
@@ -79,19 +83,20 @@
         return max(self.word.rate, LEAST_RATE)
 
     def note_send(self, at: float) -> None:
-        """Count a request that is sent at a steady time, in seconds."""
+        """Record a request that is sent at a monotonic time, in seconds."""
         if self.is_on:
             self.due = (at if self.due is None else max(at, self.due)) + 1 / self.rate
 
 
 @dataclass(slots=True)
 class Stated:
-    """What is known of one endpoint by its own word.
+    """The state that one endpoint advertises in its responses.
 
     Attributes:
-        is_leaving: Whether it leaves; that is for the rest of its life.
-        rest_until: Steady time until which it wants nothing from this entry, in seconds.
-        limit: The rate that it takes from all entries.
+        is_leaving: Whether it is leaving; this holds until the end of its incarnation.
+        rest_until: Monotonic time until which this entry should send it no requests
+            (back-off), in seconds.
+        limit: The rate that it accepts from all entries.
     """
 
     is_leaving: bool = False
--- a/dockreach/direct/told_notice.py
+++ b/dockreach/direct/told_notice.py
@@ -1,4 +1,4 @@
-"""What entries tell each other of what endpoints say of themselves."""
+"""Endpoint notices as entries relay them to each other."""
 
 from __future__ import annotations
 
@@ -6,14 +6,16 @@
 
 
 class ToldNotice(msgspec.Struct, array_like=True):
-    """What one entry tells of an endpoint's word.
+    """What one entry relays of an endpoint's notices.
 
     Attributes:
-        born: Start of the life that said it, in milliseconds; 0 if it is not told.
-        rate: Requests a second that it takes from all entries; ``None`` for no limit.
-        asked_s: How long ago the request was sent whose answer said so, in seconds.
-        heard_s: How long ago that answer was read, in seconds.
-        is_leaving: Whether it has said that it leaves.
+        born: Start time of the endpoint incarnation that sent the notice, in milliseconds;
+            0 if unknown.
+        rate: Requests a second that it accepts from all entries; ``None`` for no limit.
+        asked_s: How long ago the request was sent whose response held the notice, in
+            seconds.
+        heard_s: How long ago that response was received, in seconds.
+        is_leaving: Whether it has reported that it is leaving.
     """
 
     endpoint: str
@@ -25,10 +27,10 @@
 
 
 class NoticeNews(msgspec.Struct, array_like=True, tag=5):
-    """What endpoints have just said of themselves.
+    """Notices that endpoints have just sent.
 
     Attributes:
-        name: The sender's.
+        name: Name of the entry that relays them.
     """
 
     name: str
--- a/dockreach/direct/turns.py
+++ b/dockreach/direct/turns.py
@@ -1,4 +1,4 @@
-"""Takes some items of a list at a time, and others each time."""
+"""Selects a few items of a list at a time, in round-robin order."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 class Turns:
-    """Takes items in turn, of a list that may change between two calls."""
+    """Selects items in round-robin order from a list that may change between calls."""
 
     def __init__(self) -> None:
         self._turn = 0
 
-    def take(self, items: list[T], most: int) -> list[T]:
-        """Return some items; all of them if there are no more than may be taken.
+    def take(self, items: list[T], max_count: int) -> list[T]:
+        """Return the next items; all of them if the list is short enough.
 
         Args:
-            items: What to take from.
-            most: The most items to return.
+            items: The list to select from.
+            max_count: Maximum number of items to return.
         """
-        if len(items) <= most:
+        if len(items) <= max_count:
             return items
-        self._turn = (self._turn + most) % len(items)
-        return (items + items)[self._turn : self._turn + most]
+        self._turn = (self._turn + max_count) % len(items)
+        return (items + items)[self._turn : self._turn + max_count]
--- a/dockreach/direct/view.py
+++ b/dockreach/direct/view.py
@@ -1,4 +1,5 @@
-"""An entry's whole view, as another entry asks for it when the platform is away."""
+"""An entry's copy of the platform's data, which peers fetch while the platform is
+unavailable to them."""
 
 from __future__ import annotations
 
@@ -9,22 +10,23 @@
 from .endpoints import Published
 
 PATH = b"/v1/view"
-"""Where entries answer one another, on the TCP port beside that of the digests."""
+"""Path on which entries serve their view to peers, on the TCP port with the same number as
+the UDP port for digests."""
 
 
 class View(msgspec.Struct, array_like=True):
-    """What an entry read from the platform.
+    """The data that an entry has read from the platform.
 
     Attributes:
-        revision: Number of the configuration in force; 0 for none.
+        revision: Number of the current configuration; 0 for none.
         text: The configuration as the platform published it.
-        fleet_revision: The platform's revision up to which endpoints were read.
-        endpoints: All that the platform lists, and those that lapsed lately.
-        lapsed: Ids of endpoints that vanished while the platform was away, and are kept
-            until they should be back.
-        emptied: Data halls whose endpoints are to get nothing.
-        orders_revision: The platform's revision up to which the operator's orders, and so
-            `emptied`, were read; 0 if they were not.
+        fleet_revision: The platform's revision up to which the endpoint list was read.
+        endpoints: All endpoints that the platform lists, and those that lapsed recently.
+        lapsed: Ids of endpoints whose registration expired during a platform outage; they
+            are kept for a grace period in which they should register again.
+        emptied: Evacuated data halls: their endpoints are sent no requests.
+        orders_revision: The platform's revision up to which operator commands, and so
+            `evacuated`, were read; 0 if none were.
     """
 
     revision: int
@@ -41,16 +43,16 @@
 
 
 def encode(view: View) -> bytes:
-    """Return the bytes of a view."""
+    """Encode a view."""
     return _ENCODER.encode(view)
 
 
 def decode(data: bytes) -> View:
-    """Return the view that the bytes hold.
+    """Decode a view.
 
     Raises:
-        WireError: They hold no valid view.
+        WireError: The bytes are not a valid view.
     """
     return _decoding.decode(
-        _DECODER, data, lambda problem: WireError(f"not a view: {problem}")
+        _DECODER, data, lambda problem: WireError(f"invalid view: {problem}")
     )
