--- a/dockreach/direct/endpoints.py
+++ b/dockreach/direct/endpoints.py
@@ -27,17 +27,16 @@
 
 SUSPECT_MOST_S = 4.0
 
-
 PREFIX_KEPT_S = 30.0
-"""How long the prefix of a prompt is assumed to stay cached at an endpoint, in seconds."""
+"""How long a part of a prompt is assumed to stay cached at an endpoint, in seconds."""
 
 MOST_SAMPLES = 16
 """Maximum number of an endpoint's measurements that wait to be sent: what one entry
 measures in half a second, while measurements are sent four times a second."""
 
 MOST_PREFIXES = 4000
-"""Maximum number of prompt prefixes kept for each endpoint, some 0.4 MB; the oldest are
-dropped."""
+"""Maximum number of prompt parts that are remembered for each endpoint, some 0.4 MB; the
+oldest are dropped."""
 
 MOST_ENDED = 4096
 """Maximum number of ended endpoint incarnations that are remembered, some 0.4 MB, so that
@@ -117,7 +116,8 @@
             endpoint works again.
         lapsed_until: Monotonic time until which it is kept after its registration expired
             during a platform outage, in seconds; ``None`` while it is listed.
-        prefixes: Prompt prefixes that it has in its cache, and when each was prefilled.
+        prefixes: Parts of prompts that are likely to be in its cache, and the monotonic
+            time at which each was prefilled, in seconds.
         samples: Measurements of this entry that were not yet sent to a coordinator.
         warmth: Whether it is cold, as far as this entry knows.
         sends: Requests that were sent to it recently, as far as this entry knows.
@@ -356,7 +356,7 @@
         return self._rows.get(endpoint) or self._ended.get(endpoint)
 
     def _reborn(self, old: EndpointRow, published: Published, now: float) -> EndpointRow:
-        """Return the row of a new incarnation, which inherits only the speed of the old one.
+        """Return the row of a new incarnation, which inherits only the measured speed.
 
         The machine is the same, so that its speed is a good first estimate.
         """
@@ -410,7 +410,7 @@
         return list(self._services.get(service, {}).values())
 
     def staying(self, service: str, halls: frozenset[str] | None) -> list[EndpointRow]:
-        """Return the endpoints of a service that accept requests, in some halls or in all."""
+        """Return the endpoints of a service that accept requests, in some halls or all."""
         return [
             row
             for row in self._services.get(service, {}).values()
@@ -479,8 +479,8 @@
         in flight when the first one failed. A success closes the circuit.
         """
         row = self._rows.get(sample.endpoint)
-        # A failure of the previous incarnation would open the circuit of the new one for 0.5 s
-        # or more.
+        # A failure of the previous incarnation would open the circuit of the new one for
+        # 0.5 s or more.
         if row is None or sample.born not in (0, row.published.born):
             return
         row.learn(sample)
--- a/dockreach/direct/feeds.py
+++ b/dockreach/direct/feeds.py
@@ -33,8 +33,8 @@
 """The same after several failures, so that data is also read from a slower platform."""
 
 AWAY_PART = 0.95
-"""Time without a response after which endpoints are fetched from peers, as a fraction of the
-same time: longer than a single call may take."""
+"""Time without a response after which endpoints are fetched from peers, as a fraction of
+the same time: longer than a single call may take."""
 
 AGAIN_S = 0.1
 """Delay from the start of a failed call to its retry, in seconds; doubles with each failure
--- a/dockreach/direct/fleet.py
+++ b/dockreach/direct/fleet.py
@@ -66,7 +66,7 @@
     regions: frozenset[str] = frozenset()
 
     def service_for(self, rid: str) -> str:
-        """Return the service that a request goes to; it is always the same for the same id."""
+        """Return the service for a request; a retry with the same id gets the same."""
         if len(self.splits) == 1:
             return self.splits[0].service
         total = sum(split.weight for split in self.splits)
@@ -120,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Limits on the size of a caller's requests, in bytes, and on its pauses, in seconds."""
+    """Size limits, in bytes, and timeouts, in seconds, for the requests of callers."""
 
     header_bytes: int = 16384
     body_bytes: int = 4 << 20
--- a/dockreach/direct/helping.py
+++ b/dockreach/direct/helping.py
@@ -31,8 +31,8 @@
 
 CONNECT_S = 0.3
 SILENCE_S = 1.0
-"""Timeouts for the connection to a peer and for each read from it, in seconds. Peers respond
-within milliseconds, but a whole view may take seconds over a slow network."""
+"""Timeouts for the connection to a peer and for each read from it, in seconds. Peers
+respond within milliseconds, but a whole view may take seconds over a slow network."""
 
 MOST_VIEW_BYTES = 8 << 20
 
--- a/dockreach/direct/notices.py
+++ b/dockreach/direct/notices.py
@@ -1,4 +1,4 @@
-"""Applies the notices that endpoints send in responses, and relays them to other entries."""
+"""Applies the notices in endpoints' responses, and relays them to other entries."""
 
 from __future__ import annotations
 
@@ -104,14 +104,14 @@
             self._tell(row, now)
 
     def _hear_rate(
-        self, row: EndpointRow, notice: Notice, asked: float, now: float, rid: str
+        self, row: EndpointRow, notice: Notice, request_sent_at: float, now: float, rid: str
     ) -> bool:
         if isinstance(notice.rate, Unreadable):
             return False
         rate = NO_RATE if notice.rate is None else notice.rate
         if rate == NO_RATE and not row.stated.limit.is_on:
             return False
-        return self._take_word(row, LimitWord(rate, asked, now), rid=rid)
+        return self._take_word(row, LimitWord(rate, request_sent_at, now), rid=rid)
 
     def _take_word(
         self, row: EndpointRow, report: LimitWord, *, rid: str = "", peer: str = ""
@@ -143,14 +143,14 @@
         self._on_change()
         return True
 
-    def _rest(self, row: EndpointRow, rest_s: float, now: float, rid: str) -> None:
-        """Back off for as long as the endpoint asks; a shorter back-off does not end a longer one."""
-        was_resting = row.stated.rest_until > now
-        until = now + min(rest_s, MOST_REST_S)
+    def _rest(self, row: EndpointRow, backoff_s: float, now: float, rid: str) -> None:
+        """Back off for as long as the endpoint asks; the longest back-off applies."""
+        was_backing_off = row.stated.rest_until > now
+        until = now + min(backoff_s, MOST_REST_S)
         row.stated.rest_until = max(row.stated.rest_until, until)
         self._endpoints.note_stated(row)
-        if not was_resting:
-            log(Event.ENDPOINT_RESTS, endpoint=row.id, rest_s=rest_s, rid=rid)
+        if not was_backing_off:
+            log(Event.ENDPOINT_RESTS, endpoint=row.id, rest_s=backoff_s, rid=rid)
 
     def _refuse(self, row: EndpointRow, invalid: Unreadable) -> None:
         if (row.id, invalid) in self._refused:
@@ -192,7 +192,7 @@
         return [_told(row, now) for row in self._turns.take(rows, MOST_TOLD)]
 
     def expire(self, now: float) -> None:
-        """End back-offs that have passed, and unmark endpoints that advertise nothing any more."""
+        """End back-offs that are over; forget endpoints that advertise nothing any more."""
         for row in self._endpoints.stated():
             state = row.stated
             if -math.inf < state.rest_until <= now:
--- a/dockreach/direct/peers.py
+++ b/dockreach/direct/peers.py
@@ -126,7 +126,7 @@
 
     @property
     def unheard(self) -> int:
-        """How many entries are known by address only: no digest was received from them yet."""
+        """How many entries are known by address only, without any digest so far."""
         return len(self.targets()) - len(self._rows)
 
     def targets(self) -> list[Address]:
--- a/dockreach/direct/view.py
+++ b/dockreach/direct/view.py
@@ -1,5 +1,4 @@
-"""An entry's copy of the platform's data, which peers fetch while the platform is
-unavailable to them."""
+"""An entry's copy of the platform's data, as peers fetch it during platform outages."""
 
 from __future__ import annotations
 
--- a/tests/direct/stating_engines.py
+++ b/tests/direct/stating_engines.py
@@ -1,4 +1,4 @@
-"""Several entries that hear each other, before engines that say something of themselves."""
+"""Several entries that gossip, with engines that advertise a state in their responses."""
 
 from __future__ import annotations
 
@@ -20,18 +20,20 @@
 
 
 def published(name: str, address: str, *, leaving: bool = False, seq: int = 1) -> Published:
-    """Return an endpoint's entry in one of its lives."""
+    """Return the platform's record of an endpoint, always of the same incarnation."""
     return Published(name, "work", address, "hall1", SLOTS, leaving, 1000, seq)
 
 
 @dataclass
 class StatingEngine:
-    """An engine that adds headers to its answers, or turns requests away.
+    """An engine that adds headers to its responses, or rejects requests.
 
     Attributes:
-        extra: Headers of its answers.
-        status: Of its answers.
-        arrivals: When requests arrived, and over which entry, in steady seconds.
+        extra: Headers that it adds to its responses.
+        status: Status line of its responses.
+        work_s: Time for which a request runs, in seconds.
+        arrivals: Monotonic times at which requests arrived, in seconds, each with the entry
+            that sent the request.
     """
 
     name: str
@@ -50,27 +52,27 @@
         dialog.answer(b"fine", self.status, self.extra)
 
     def turn_away(self, extra: bytes = b"") -> None:
-        """Answer 503 without running anything."""
+        """Respond 503 from now on, without running anything."""
         self.status = b"503 Service Unavailable"
         self.work_s = 0.0
         self.extra = b"Not-Executed: 1\r\n" + extra
 
     def answer_well(self) -> None:
-        """Run what comes again, and say nothing more."""
+        """Run requests again, and advertise nothing any more."""
         self.status = b"200 OK"
         self.work_s = WORK_S
         self.extra = b""
 
     def arrived_since(self, at: float, entry: str = "") -> list[float]:
-        """Return when requests arrived from a time on, over one entry or over all."""
-        return [when for when, via in self.arrivals if when >= at and entry in via]
+        """Return when requests arrived since a time, from one entry or from all."""
+        return [arrived for arrived, via in self.arrivals if arrived >= at and entry in via]
 
 
 class StatingFleet:
-    """Entries, and engines of one service.
+    """Entries that gossip, and the engines of one service.
 
     Attributes:
-        statuses: How requests were answered, by entry.
+        statuses: Monotonic time, in seconds, and status of each response.
     """
 
     def __init__(self, *, entries: int, engines: int) -> None:
@@ -86,23 +88,23 @@
         eventlet.sleep(NEWS_S)
 
     def publish(self, *, seq: int = 1) -> None:
-        """Let the platform list all engines, none as leaving."""
+        """Publish all engines as the platform does, none of them as leaving."""
         for engine, entry in itertools.product(self.engines, self.entries):
             entry.take_endpoint(published(engine.name, engine.stand_in.address, seq=seq))
 
     def ask(self, number: int, path: str = "/once/a") -> bytes:
-        """Send a request over one entry; return the answer."""
+        """Send a request to one entry; return the response."""
         caller = Caller(self.entries[number])
         caller.send(path, rid=f"entry-{number}/{next(self._rids)}")
-        answer = caller.read_answer()
+        response = caller.read_answer()
         caller.close()
-        self.statuses.append((time.monotonic(), int(answer.split(b" ", 2)[1])))
-        return answer
+        self.statuses.append((time.monotonic(), int(response.split(b" ", 2)[1])))
+        return response
 
     def press(
         self, *, per_s: float, for_s: float, then: Callable[[], None] = lambda: None
     ) -> None:
-        """Send requests over all entries in turn for some time; wait for the answers."""
+        """Send requests to all entries in turn for some time; wait for the responses."""
         ends = time.monotonic() + for_s
         pool = eventlet.GreenPool()
         for number in itertools.count():
@@ -114,6 +116,6 @@
         pool.waitall()
 
     def served(self, since: float) -> float:
-        """Return which part of the requests answered from a time on was served."""
-        found = [status == 200 for at, status in self.statuses if at >= since]
-        return sum(found) / len(found)
+        """Return the fraction of responses since a time that had status 200."""
+        served = [status == 200 for at, status in self.statuses if at >= since]
+        return sum(served) / len(served)
--- a/tests/direct/test_emptied_halls.py
+++ b/tests/direct/test_emptied_halls.py
@@ -1,4 +1,4 @@
-"""Orders to empty data halls, heard of in any order."""
+"""Evacuations of data halls, received in any order."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 NONE: frozenset[str] = frozenset()
 
 
-def test_endpoints_of_an_emptied_hall_get_nothing_until_it_is_taken_back() -> None:
+def test_endpoints_of_an_evacuated_hall_are_unusable_until_it_is_withdrawn() -> None:
     table = endpoints(1)
     halls = EmptiedHalls(table)
     assert halls.take(HALL, 5, 10.0)
@@ -24,7 +24,7 @@
     assert halls.since == {}
 
 
-def test_an_older_order_changes_nothing() -> None:
+def test_an_older_command_is_ignored() -> None:
     table = endpoints(1)
     halls = EmptiedHalls(table)
     halls.take(NONE, 6, 10.0)
@@ -32,7 +32,7 @@
     assert table.emptied == NONE
 
 
-def test_the_same_order_again_is_no_news() -> None:
+def test_the_same_command_again_is_not_new() -> None:
     halls = EmptiedHalls(endpoints(1))
     halls.take(HALL, 5, 10.0)
     assert not halls.take(HALL, 5, 12.0)
@@ -40,7 +40,7 @@
 
 
 @given(st.lists(st.integers(1, 9), min_size=1, max_size=20))
-def test_whatever_the_order_the_newest_one_stands(revisions: list[int]) -> None:
+def test_the_newest_command_applies_in_any_order_of_arrival(revisions: list[int]) -> None:
     table = endpoints(1)
     halls = EmptiedHalls(table)
     for revision in revisions:
--- a/tests/direct/test_fleet.py
+++ b/tests/direct/test_fleet.py
@@ -1,4 +1,4 @@
-"""Routes and organisations."""
+"""Selection of routes, services and organisations."""
 
 from __future__ import annotations
 
@@ -28,21 +28,21 @@
     return Revision(1, routes, {}, (), revision().limits)
 
 
-def test_the_longest_prefix_wins_and_hosts_are_told_apart() -> None:
-    found = of_routes(route("/a/"), route("/a/b/"), route("/"))
-    assert found.match("tools.example", "/a/b/c") is found.routes[1]
-    assert found.match("tools.example", "/a/bc") is found.routes[0]
-    assert found.match("tools.example", "/x") is found.routes[2]
-    assert found.match("other.example", "/a/") is None
+def test_the_longest_prefix_of_the_host_wins() -> None:
+    config = of_routes(route("/a/"), route("/a/b/"), route("/"))
+    assert config.match("tools.example", "/a/b/c") is config.routes[1]
+    assert config.match("tools.example", "/a/bc") is config.routes[0]
+    assert config.match("tools.example", "/x") is config.routes[2]
+    assert config.match("other.example", "/a/") is None
 
 
-def test_a_split_follows_its_weights_and_the_id() -> None:
+def test_a_split_follows_the_weights_and_is_fixed_for_each_id() -> None:
     split = route("/a/", Split("big", 90.0), Split("small", 10.0))
     services = [split.service_for(f"r-{number}") for number in range(2000)]
     assert 120 < services.count("small") < 280
     assert services == [split.service_for(f"r-{number}") for number in range(2000)]
 
 
-def test_a_key_names_its_organisation() -> None:
+def test_an_api_key_identifies_its_organisation() -> None:
     assert revision().organisation_of("key-1") is not None
     assert revision().organisation_of("") is None
--- a/tests/direct/test_leaving_engines.py
+++ b/tests/direct/test_leaving_engines.py
@@ -1,4 +1,4 @@
-"""Engines that say in their answers that they leave, whatever the platform says."""
+"""Engines that report in their responses that they are leaving, before the platform does."""
 
 from __future__ import annotations
 
@@ -18,34 +18,35 @@
 from .stating_engines import StatingFleet
 
 PRESSURE = 40.0
-"""Requests a second over all entries."""
+"""Requests a second sent to all entries together."""
 
 TOLD_S = 0.3
-"""Time in which all entries on one machine know what one was told, in seconds."""
+"""Time within which all entries on one machine know what one of them received, in seconds."""
 
 
-def test_an_engine_that_says_it_leaves_gets_nothing_while_the_platform_says_nothing() -> (
+def test_a_leaving_engine_receives_no_requests_while_the_platform_lists_it_as_staying() -> (
     None
 ):
-    # A request reached an engine 5.7 s after its word, with the store silent.
+    # With the store unavailable, a request reached an engine 5.7 s after it had reported that
+    # it was leaving.
     fleet = StatingFleet(entries=3, engines=3)
     leaving = fleet.engines[0]
     fleet.press(per_s=PRESSURE, for_s=0.5)
     assert leaving.arrivals
     leaving.extra = b"Server-Leaving: 1\r\n"
     fleet.press(per_s=PRESSURE, for_s=0.5)
-    told = time.monotonic()
+    reported_at = time.monotonic()
     fleet.press(per_s=PRESSURE, for_s=1.0, then=lambda: fleet.publish(seq=2))
     fleet.press(per_s=PRESSURE, for_s=1.0)
-    assert leaving.arrived_since(told + TOLD_S) == []
-    assert fleet.served(told) == 1.0
+    assert leaving.arrived_since(reported_at + TOLD_S) == []
+    assert fleet.served(reported_at) == 1.0
 
 
 LEAVING = b"Server-Leaving: 1\r\n"
 
 
 def say(status: bytes, extra: bytes) -> EndpointStandIn:
-    """Return an endpoint that answers so, with headers of its own."""
+    """Return an endpoint that responds with this status and these headers."""
     return EndpointStandIn(lambda dialog: dialog.answer(b"", status, extra))
 
 
@@ -57,13 +58,13 @@
         (b"500 Internal Server Error", LEAVING, True),
         (b"429 Too Many Requests", b"Not-Executed: 1\r\n" + LEAVING, True),
         (b"503 Service Unavailable", b"Not-Executed: 1\r\n" + LEAVING, True),
-        # Another endpoint has its address.
+        # Another endpoint responds at its address.
         (b"421 Misdirected Request", LEAVING, False),
         (b"200 OK", b"Connection: close\r\n", False),
         (b"200 OK", b"Server-Leaving: soon\r\n", False),
     ],
 )
-def test_the_word_counts_whatever_the_answer_is(
+def test_leaving_is_read_from_responses_with_any_status_of_the_endpoint_itself(
     status: bytes, extra: bytes, is_leaving: bool
 ) -> None:
     entry = start_entry(say(status, extra), EndpointStandIn(lambda d: d.answer(b"fine")))
@@ -76,7 +77,7 @@
     assert row.is_leaving is is_leaving
 
 
-def test_the_word_counts_in_a_late_answer_to_another_request() -> None:
+def test_leaving_is_read_from_a_late_response_to_another_request() -> None:
     def late_first(dialog: Dialog) -> None:
         dialog.send(b"HTTP/1.1 200 OK\r\nRequest-Id: r-0\r\nContent-Length: 0\r\n")
         dialog.send(LEAVING + b"\r\n")
@@ -90,7 +91,7 @@
     assert row.is_leaving
 
 
-def test_a_stream_under_way_at_an_engine_that_leaves_ends_in_peace() -> None:
+def test_a_stream_in_flight_at_a_leaving_engine_completes() -> None:
     def slow_stream(dialog: Dialog) -> None:
         dialog.send(
             b"HTTP/1.1 200 OK\r\nRequest-Id: "
@@ -107,18 +108,18 @@
     entry = start_entry(EndpointStandIn(slow_stream))
     caller = Caller(entry)
     caller.send("/draft/a")
-    answer = caller.read_answer()
-    assert status_of(answer) == 200
-    assert body_of(answer).count(b"data: x") == 3
+    response = caller.read_answer()
+    assert status_of(response) == 200
+    assert body_of(response).count(b"data: x") == 3
 
 
-def test_who_comes_when_all_engines_leave_is_refused_as_not_run() -> None:
+def test_requests_are_refused_as_not_run_when_all_engines_are_leaving() -> None:
     fleet = StatingFleet(entries=2, engines=2)
     for engine in fleet.engines:
         engine.extra = LEAVING
     fleet.press(per_s=PRESSURE, for_s=0.5)
     count = sum(len(engine.arrivals) for engine in fleet.engines)
-    answer = fleet.ask(0)
-    assert status_of(answer) == 503
-    assert b"Retry-After" in answer
+    response = fleet.ask(0)
+    assert status_of(response) == 503
+    assert b"Retry-After" in response
     assert sum(len(engine.arrivals) for engine in fleet.engines) == count
--- a/tests/direct/test_lives.py
+++ b/tests/direct/test_lives.py
@@ -1,4 +1,4 @@
-"""Endpoints that start again under the id that they had."""
+"""Endpoints that restart under the same id."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     )
 
 
-def test_a_new_life_holds_nothing_of_the_old_one() -> None:
+def test_a_new_incarnation_inherits_no_state_of_the_old_one() -> None:
     table = EndpointTable()
     table.publish(entry(1000), 0.0)
     core = dispatcher(table)
@@ -42,7 +42,7 @@
     assert placed(core.pump(10.0)) == ["new"]
 
 
-def test_places_of_the_old_life_are_given_back_to_it() -> None:
+def test_slots_of_the_old_incarnation_are_not_released_on_the_new_one() -> None:
     table = EndpointTable()
     table.publish(entry(1000), 0.0)
     core = dispatcher(table)
@@ -59,45 +59,46 @@
 @pytest.mark.parametrize(
     "kind", [SampleKind.FAILED, SampleKind.OUT_OF_REACH, SampleKind.GONE]
 )
-def test_what_another_entry_met_at_the_old_life_says_nothing_of_the_new_one(
+def test_failures_of_the_old_incarnation_do_not_affect_the_new_one(
     kind: SampleKind,
 ) -> None:
-    """An engine that had just started again was left alone for a failure before its start.
+    """Guards against a circuit that opens because of a failure before the engine's restart.
 
-    Entries tell the one that gives out places what they met at an engine by its id alone.
-    Told a moment after the new life was published, the end of the old one made the new one
-    suspect for 0.5 s, and that another engine answers at its address for longer.
+    Entries used to report failures to the coordinator by the id of the engine alone. If the
+    crash of the old incarnation was reported just after the new one was published, it
+    opened the circuit of the new one for 0.5 s; the report that another engine answers at
+    its address did so for longer.
     """
-    teller, table = EndpointTable(), EndpointTable()
-    for known in (teller, table):
+    reporter, table = EndpointTable(), EndpointTable()
+    for known in (reporter, table):
         known.publish(entry(1000), 0.0)
-    old = teller.get("e-0")
+    old = reporter.get("e-0")
     assert old is not None
-    met = {
+    fail = {
         SampleKind.FAILED: old.failed,
         SampleKind.OUT_OF_REACH: old.lose_reach,
         SampleKind.GONE: old.lose_address,
     }
-    met[kind](9.9)
+    fail[kind](9.9)
     table.publish(entry(2000), 10.0)
-    (told,) = teller.take_samples("work")
-    assert told.kind is kind
-    table.learn(told, 10.0)
+    (reported,) = reporter.take_samples("work")
+    assert reported.kind is kind
+    table.learn(reported, 10.0)
     row = table.get("e-0")
     assert row is not None
     assert row.suspect_until <= 10.0
     assert row.failures == 0
-    # What is met at the new life does count.
-    teller.publish(entry(2000), 10.0)
-    new = teller.get("e-0")
+    # A failure of the new incarnation does count.
+    reporter.publish(entry(2000), 10.0)
+    new = reporter.get("e-0")
     assert new is not None
     new.failed(10.1)
-    for sample in teller.take_samples("work"):
+    for sample in reporter.take_samples("work"):
         table.learn(sample, 10.1)
     assert row.suspect_until > 10.1
 
 
-def test_its_speed_is_a_prior_of_the_new_one() -> None:
+def test_a_new_incarnation_starts_with_the_speed_of_the_old_one() -> None:
     table = EndpointTable()
     table.publish(entry(1000), 0.0)
     old = table.get("e-0")
@@ -112,7 +113,7 @@
     assert row.speed.gap_s < old.speed.gap_s
 
 
-def test_an_older_start_never_brings_the_old_life_back() -> None:
+def test_a_record_with_an_older_start_time_is_ignored() -> None:
     table = EndpointTable()
     table.publish(entry(2000), 0.0)
     assert table.publish(entry(1000, 99), 1.0) is Publication.STALE
@@ -121,14 +122,14 @@
     assert row.published.born == 2000
 
 
-def test_a_sequence_that_falls_without_a_new_start_changes_nothing() -> None:
+def test_a_record_with_a_lower_sequence_of_the_same_incarnation_is_ignored() -> None:
     table = EndpointTable()
     table.publish(entry(2000, 7, leaving=True), 0.0)
     assert table.publish(entry(2000, 6), 1.0) is Publication.STALE
     assert table.usable("work", 1.0) == []
 
 
-def test_a_life_that_has_ended_does_not_come_back_after_it_was_taken_off() -> None:
+def test_a_delayed_record_does_not_bring_back_a_removed_incarnation() -> None:
     table = EndpointTable()
     table.publish(entry(2000, 7), 0.0)
     table.remove("e-0")
@@ -140,7 +141,7 @@
     assert table.publish(entry(3000), 2.0) is Publication.NEW_LIFE
 
 
-def test_where_no_start_is_told_the_platforms_order_counts() -> None:
+def test_without_start_times_records_apply_in_the_platforms_order() -> None:
     table = EndpointTable()
     table.publish(entry(0, 7), 0.0)
     assert table.publish(entry(0, 1, slots=3), 1.0) is Publication.CHANGE
@@ -149,7 +150,7 @@
     assert row.published.slots == 3
 
 
-def test_an_endpoint_whose_service_changes_is_not_listed_under_the_old_one() -> None:
+def test_an_endpoint_whose_service_changes_leaves_the_old_service() -> None:
     table = EndpointTable()
     table.publish(entry(1), 0.0)
     table.publish(Published("e-0", "other", "10.1.0.1:80", "hall1", 2, False, 1, 2), 1.0)
@@ -158,11 +159,13 @@
 
 
 @given(st.lists(st.tuples(st.integers(1, 4), st.integers(0, 4)), max_size=20))
-def test_whatever_the_order_the_newest_entry_stands(entries: list[tuple[int, int]]) -> None:
+def test_the_newest_record_applies_in_any_order_of_arrival(
+    records: list[tuple[int, int]],
+) -> None:
     table = EndpointTable()
-    for born, sequence in entries:
+    for born, sequence in records:
         table.publish(entry(born, sequence), 0.0)
     row = table.get("e-0")
-    newest = max(entries, default=None)
-    found = (row.published.born, row.published.sequence) if row is not None else None
-    assert found == newest
+    newest = max(records, default=None)
+    kept = (row.published.born, row.published.sequence) if row is not None else None
+    assert kept == newest
--- a/tests/direct/test_peers.py
+++ b/tests/direct/test_peers.py
@@ -18,47 +18,47 @@
 from .cores import OWN, address, digest, peers
 
 
-def test_an_older_digest_changes_nothing() -> None:
+def test_an_older_digest_is_ignored() -> None:
     table = peers()
     table.receive(digest(address(1), number=5, under_way={"e": 2}), 1.0)
     assert not table.receive(digest(address(1), number=4), 1.1).is_news
     assert table.under_way(1.1) == {"e": 2}
 
 
-def test_a_restart_is_told_by_age_whatever_number_it_drew() -> None:
+def test_a_restart_is_recognised_by_age_whatever_its_incarnation_number() -> None:
     table = peers()
     table.receive(digest(address(1), incarnation=9, number=80, age_s=50.0), 10.0)
-    heard = table.receive(digest(address(1), incarnation=3, number=1, age_s=0.2), 11.0)
-    assert heard.is_news
-    assert heard.before is not None
-    assert heard.before.digest.incarnation == 9
+    result = table.receive(digest(address(1), incarnation=3, number=1, age_s=0.2), 11.0)
+    assert result.is_news
+    assert result.before is not None
+    assert result.before.digest.incarnation == 9
 
 
-def test_a_late_datagram_of_an_ended_incarnation_changes_nothing() -> None:
+def test_a_late_datagram_of_an_ended_incarnation_is_ignored() -> None:
     table = peers()
     table.receive(digest(address(1), incarnation=2, age_s=0.2), 11.0)
     late = digest(address(1), incarnation=1, number=99, age_s=50.0)
     assert not table.receive(late, 11.1).is_news
 
 
-def test_requests_of_a_silent_peer_do_not_count() -> None:
+def test_requests_of_a_silent_peer_are_not_counted() -> None:
     table = peers()
     table.receive(digest(address(1), under_way={"e": 2}), 1.0)
     table.receive(digest(address(2), under_way={"e": 1}), 1.0 + FRESH_S)
     assert table.under_way(1.1 + FRESH_S) == {"e": 1}
 
 
-def test_a_peer_is_either_heard_or_silent() -> None:
+def test_a_peer_is_either_fresh_or_silent() -> None:
     table = peers()
     for number in range(10):
         table.receive(digest(address(number)), 1.0 + number / 10)
     for now in (1.5, 1.0 + FRESH_S, 2.3):
-        heard = table.fresh(now)
-        assert all(table.is_fresh(row, now) for row in heard)
-        assert len(heard) + len(table.silent(now)) == len(table)
+        fresh = table.fresh(now)
+        assert all(table.is_fresh(row, now) for row in fresh)
+        assert len(fresh) + len(table.silent(now)) == len(table)
 
 
-def test_among_many_peers_one_is_silent_only_after_several_digests() -> None:
+def test_among_many_peers_one_counts_as_silent_only_after_several_missed_digests() -> None:
     table = peers()
     for number in range(100):
         table.receive(digest(address(number)), 1.0)
@@ -66,7 +66,7 @@
     assert len(table.silent(1.0 + 5 * table.gap_s)) == 100
 
 
-def test_a_silent_peer_is_kept_and_then_gone() -> None:
+def test_a_silent_peer_is_kept_until_it_times_out() -> None:
     table = peers()
     table.receive(digest(address(1)), 1.0)
     assert len(table.silent(1.0 + FRESH_S + 0.1)) == 1
@@ -75,14 +75,14 @@
     assert len(table) == 0
 
 
-def test_a_peer_that_said_it_leaves_is_not_taken_as_cut_off() -> None:
+def test_a_leaving_peer_does_not_count_as_silent() -> None:
     table = peers()
     table.receive(digest(address(1), leaving=True), 1.0)
     assert table.silent(5.0) == []
     assert len(table.expire(1.0 + FRESH_S + 0.1)) == 1
 
 
-def test_seeds_and_named_entries_are_sent_digests() -> None:
+def test_digests_are_sent_to_seeds_and_discovered_entries() -> None:
     table = PeerTable(OWN, (address(1), OWN))
     table.receive(digest(address(2), known=[address(3), OWN]), 1.0)
     assert set(table.targets()) == {address(1), address(2), address(3)}
@@ -96,7 +96,7 @@
     assert len(table.told(YOUNG_S)) == FEW_TOLD
 
 
-def test_more_are_named_while_somebody_has_just_started() -> None:
+def test_digests_list_more_addresses_while_an_entry_has_recently_started() -> None:
     table = peers()
     for number in range(50):
         table.receive(digest(address(number), age_s=60.0), 1.0)
@@ -104,15 +104,15 @@
     assert len(table.told(YOUNG_S)) == MOST_TOLD
 
 
-def test_all_peers_are_named_in_time() -> None:
+def test_successive_digests_list_all_peers() -> None:
     table = peers()
     for number in range(50):
         table.receive(digest(address(number)), 1.0)
-    named = {entry for _ in range(50) for entry in table.told(YOUNG_S)}
-    assert len(named) == 50
+    listed = {entry for _ in range(50) for entry in table.told(YOUNG_S)}
+    assert len(listed) == 50
 
 
-def test_a_digest_before_380_peers_and_1200_endpoints_fits_and_is_quick() -> None:
+def test_a_digest_for_380_peers_and_1200_endpoints_fits_and_is_handled_quickly() -> None:
     table = peers()
     for number in range(380):
         table.receive(digest(address(number), under_way={f"e-{number}": 1}), 1.0)
--- a/tests/direct/test_suspended.py
+++ b/tests/direct/test_suspended.py
@@ -1,9 +1,10 @@
-"""A machine may be suspended for seconds, and its steady clock does not count that time.
+"""Suspended machines: ``time.monotonic`` does not count the time of the suspension.
 
-A request with 1.0 s left waited at an entry that was suspended for 1.5 s. Awake, the entry
-still saw 0.9 s of it, placed it, and told the engine so; its caller had long gone. All else
-that ages by that clock was as old as before the sleep: what peers told, the window of a
-limit, a kept connection.
+A request with 1.0 s left until its deadline was queued at an entry that was suspended for
+1.5 s. After resuming, the entry still saw 0.9 s left, placed the request, and passed that
+time on to the engine, although the caller had long gone. Everything else that ages by that
+clock was also as old as before the suspension: digests of peers, the windows of quotas,
+idle connections.
 """
 
 from __future__ import annotations
@@ -29,18 +30,18 @@
 
 
 class Suspension:
-    """Puts this process to sleep, with a steady clock that does not count the time."""
+    """Simulates a suspension: a pause that ``time.monotonic`` does not count."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self._patch = monkeypatch
 
     def sleep(self) -> None:
-        """Sleep; only the steady clock stands still meanwhile."""
-        steady = time.monotonic
+        """Pause this process; only ``time.monotonic`` stands still meanwhile."""
+        original = time.monotonic
         time.sleep(SLEPT_S)
-        self._patch.setattr(time, "monotonic", lambda: steady() - SLEPT_S)
+        self._patch.setattr(time, "monotonic", lambda: original() - SLEPT_S)
         hub = eventlet.hubs.get_hub()
-        if hub.clock is steady:
+        if hub.clock is original:
             self._patch.setattr(hub, "clock", time.monotonic)
 
 
@@ -50,16 +51,16 @@
 
 
 def full_engine() -> tuple[Entry, EndpointStandIn, list[Caller]]:
-    """Return an entry whose one engine has no place until a caller leaves."""
+    """Return an entry whose only engine has no free slot until a caller disconnects."""
 
-    def run(dialog: Dialog) -> None:
+    def serve(dialog: Dialog) -> None:
         if dialog.request.startswith(b"POST /draft/"):
             dialog.start_stream()
             dialog.wait_until_left()
         else:
             dialog.answer(b"fine")
 
-    engine = EndpointStandIn(run)
+    engine = EndpointStandIn(serve)
     entry = start_entry()
     entry.take_endpoint(published("e-0", engine.address, slots=1))
     callers = [Caller(entry) for _ in range(3)]
@@ -73,7 +74,7 @@
     return [header_of(request, b"request-id") for request in engine.requests]
 
 
-def test_what_waited_for_longer_than_its_caller_does_is_not_sent_on_waking(
+def test_a_request_whose_deadline_passed_in_a_suspension_is_not_sent(
     suspension: Suspension,
 ) -> None:
     entry, engine, busy = full_engine()
@@ -82,14 +83,14 @@
     eventlet.sleep(0.05)
     assert b"r-late" not in rids(engine)
     suspension.sleep()
-    for other in busy:
-        other.close()
+    for active in busy:
+        active.close()
     assert status_of(caller.read_answer()) == 503
     eventlet.sleep(0.2)
     assert b"r-late" not in rids(engine)
 
 
-def test_what_others_told_before_the_sleep_is_old_on_waking(
+def test_the_clock_counts_the_time_of_a_suspension(
     suspension: Suspension,
 ) -> None:
     entry = start_entry()
@@ -98,7 +99,9 @@
     assert entry.ctx.now() - before >= SLEPT_S
 
 
-def test_timers_that_were_due_in_the_sleep_end_on_waking(suspension: Suspension) -> None:
+def test_timers_that_were_due_in_a_suspension_fire_on_resuming(
+    suspension: Suspension,
+) -> None:
     start_entry()
     fired: list[float] = []
     eventlet.spawn_after(SLEPT_S, lambda: fired.append(1.0))
--- a/tests/direct/test_turns.py
+++ b/tests/direct/test_turns.py
@@ -1,4 +1,4 @@
-"""Items of a list are taken in turn."""
+"""Round-robin selection from a list."""
 
 from __future__ import annotations
 
@@ -9,17 +9,19 @@
 
 
 @given(st.integers(0, 20), st.integers(1, 8))
-def test_all_items_are_taken_in_as_few_calls_as_can_be(count: int, most: int) -> None:
-    turns = Turns()
+def test_all_items_are_selected_in_the_fewest_possible_calls(
+    count: int, max_count: int
+) -> None:
+    round_robin = Turns()
     items = list(range(count))
-    calls = -(-count // most)
-    taken = [turns.take(items, most) for _ in range(calls)]
-    assert all(len(part) <= most for part in taken)
-    assert {item for part in taken for item in part} == set(items)
+    calls = -(-count // max_count)
+    batches = [round_robin.take(items, max_count) for _ in range(calls)]
+    assert all(len(batch) <= max_count for batch in batches)
+    assert {item for batch in batches for item in batch} == set(items)
 
 
-def test_a_list_that_becomes_shorter_is_taken_from_as_well() -> None:
-    turns = Turns()
-    turns.take(list(range(20)), 4)
-    assert len(turns.take([1, 2, 3, 4, 5], 4)) == 4
-    assert turns.take([1, 2], 4) == [1, 2]
+def test_a_list_that_becomes_shorter_is_handled() -> None:
+    round_robin = Turns()
+    round_robin.take(list(range(20)), 4)
+    assert len(round_robin.take([1, 2, 3, 4, 5], 4)) == 4
+    assert round_robin.take([1, 2], 4) == [1, 2]
