--- a/tests/direct/test_leaving_engines.py
+++ b/tests/direct/test_leaving_engines.py
@@ -1,4 +1,4 @@
-"""Engines that report in their responses that they are leaving, before the platform does."""
+"""Engines that report in their responses that they leave, before the platform does."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 """Requests a second sent to all entries together."""
 
 TOLD_S = 0.3
-"""Time within which all entries on one machine know what one of them received, in seconds."""
+"""Time within which a notice reaches all entries on one machine, in seconds."""
 
 
 def test_a_leaving_engine_receives_no_requests_while_the_platform_lists_it_as_staying() -> (
     None
 ):
-    # With the store unavailable, a request reached an engine 5.7 s after it had reported that
-    # it was leaving.
+    # With the store unavailable, a request reached an engine 5.7 s after it had reported
+    # that it was leaving.
     fleet = StatingFleet(entries=3, engines=3)
     leaving = fleet.engines[0]
     fleet.press(per_s=PRESSURE, for_s=0.5)
--- a/tests/direct/test_notices.py
+++ b/tests/direct/test_notices.py
@@ -1,4 +1,7 @@
-"""Endpoint notices: which incarnation they apply to, how they spread, how long they hold."""
+"""Endpoint notices: which incarnation they apply to, how they spread, how long they last.
+
+The tests use the tracker of each entry directly, with a simulated clock.
+"""
 
 from __future__ import annotations
 
