--- a/dockreach/direct/endpoints.py
+++ b/dockreach/direct/endpoints.py
@@ -103,14 +103,16 @@
 
     Attributes:
         own: Requests of this entry in flight there.
-        others: Requests of other entries in flight there, as last reported by them.
-        granted: Requests of other entries in flight there in slots granted by this entry.
-        reading: Prompt tokens still in prefill there, of requests in slots granted by this
-            entry.
+        others: Requests of other entries in flight there, as they last
+            reported.
+        granted: Requests of other entries in flight there in slots granted by
+            this entry.
+        reading: Prompt tokens still in prefill there, of requests in slots granted
+            by this entry.
         speed: Its measured speed as an engine.
         plain_s: Mean duration of a plain (not streamed) request, in seconds.
-        suspect_until: Monotonic time until which its circuit is open, so that it is sent no
-            requests, in seconds.
+        suspect_until: Monotonic time until which its circuit is open, so that it is
+            sent no requests, in seconds.
         failures: Failures in a row.
         is_probed: Whether a half-open probe is in flight: a request that shows whether the
             endpoint works again.
--- a/dockreach/direct/feeds.py
+++ b/dockreach/direct/feeds.py
@@ -66,8 +66,8 @@
         calls: Calls since the start.
         failed_calls: Failed calls since the start.
         failures: Failed calls in a row; 0 once the copy is up to date again.
-        answered: Monotonic time of the last response, in seconds; ``None`` before the
-            first.
+        answered: Monotonic time of the last response, in seconds; ``None``
+            before the first.
     """
 
     calls: int = 0
--- a/dockreach/direct/peers.py
+++ b/dockreach/direct/peers.py
@@ -10,8 +10,8 @@
 from .turns import Turns
 
 FRESH_S = 0.8
-"""A peer not heard from for longer may be unreachable, in seconds: three intervals between
-idle digests."""
+"""A peer that has sent no digest for longer may be unreachable, in seconds: three intervals
+between idle digests."""
 
 FRESH_GAPS = 4
 """Intervals without a digest after which a peer counts as silent, where there are so many
--- a/dockreach/direct/stated.py
+++ b/dockreach/direct/stated.py
@@ -24,8 +24,8 @@
 
     Attributes:
         rate: Requests a second from all entries together.
-        asked: Monotonic time at which the request of that response was sent, in seconds;
-            the endpoint cannot have made the report earlier.
+        asked: Monotonic time at which the request of that response was sent, in
+            seconds; the endpoint cannot have made the report earlier.
         heard: Monotonic time at which the response was received, in seconds.
     """
 
@@ -44,8 +44,9 @@
 
     Attributes:
         word: The report that currently applies.
-        due: Monotonic time from which the next request of any entry may be sent, as far as
-            this entry knows, in seconds; ``None`` if not computed since the rate changed.
+        due: Monotonic time from which the next request of any entry may be sent, as
+            far as this entry knows, in seconds; ``None`` if not computed since the rate
+            changed.
     """
 
     word: LimitWord = LimitWord()
