--- a/tests/direct/test_emptied_halls.py
+++ b/tests/direct/test_emptied_halls.py
@@ -13,7 +13,7 @@
 NONE: frozenset[str] = frozenset()
 
 
-def test_endpoints_of_an_evacuated_hall_are_unusable_until_it_is_withdrawn() -> None:
+def test_endpoints_of_a_hall_are_unusable_until_its_evacuation_is_withdrawn() -> None:
     table = endpoints(1)
     halls = EmptiedHalls(table)
     assert halls.take(HALL, 5, 10.0)
