--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -393,8 +393,8 @@
     Edit(
         "after ends at a moment one copy is run at a time",
         "direct/crashers.py",
-        "        due = self._trial_at(record) if is_barred else record.tried + DOUBT_S\n",
-        "        due = self._trial_at(record) if is_barred else now\n",
+        "        due = self._trial_at(history) if is_quarantined else history.tried + DOUBT_S\n",
+        "        due = self._trial_at(history) if is_quarantined else now\n",
     ),
     Edit(
         "ends of one moment leave room for later ones",
@@ -405,13 +405,13 @@
     Edit(
         "trials that end engines at once are bounded",
         "direct/crashers.py",
-        "        if len(record.runs(self._ended)) >= self._most_runs + MOST_TRIALS:\n",
-        "        if record.signs(self._ended) >= self._most_runs + MOST_TRIALS:\n",
+        "        if len(history.runs(self._ended)) >= self._most_runs + MOST_TRIALS:\n",
+        "        if history.signs(self._ended) >= self._most_runs + MOST_TRIALS:\n",
     ),
     Edit(
         "so many runs after the third end, and no more",
         "direct/crashers.py",
-        "        if record.late_runs(self._ended) >= MOST_LATE_RUNS:\n",
+        "        if history.late_runs(self._ended) >= MOST_LATE_RUNS:\n",
         "        if False:\n",
     ),
     Edit(
@@ -429,7 +429,7 @@
     Edit(
         "an answer clears what was seen before it",
         "direct/crashers.py",
-        "        if not record.clear(record.ends):\n            return False\n",
+        "        if not history.clear(history.ends):\n            return False\n",
         "        return False\n",
     ),
     Edit(
@@ -441,8 +441,8 @@
     Edit(
         "an entry that has just started hears what is barred",
         "direct/crashers.py",
-        "if now - record.changed < SPREAD_S or self._holds(record)",
-        "if now - record.changed < SPREAD_S",
+        "if now - history.changed < SPREAD_S or self._holds(history)",
+        "if now - history.changed < SPREAD_S",
     ),
     Edit(
         "what was met at the life before says nothing of the new one",
--- a/dockreach/direct/crash_record.py
+++ b/dockreach/direct/crash_record.py
@@ -1,7 +1,7 @@
-"""What is known of one request under which engines ended.
+"""Crash history of one request: the engines that crashed while they ran it.
 
-Load pattern: one request ends several engines, one after the other and at a moment, while
-engines end for other reasons under requests that are sound.
+A request may crash several engines, one after another or all at once, while engines also
+exit for other reasons during harmless requests.
 """
 
 from __future__ import annotations
@@ -14,25 +14,25 @@
 import msgspec
 
 SUDDEN_PART = 0.5
-"""What a run counts whose engine may have ended before it was sent the request; others
-count 1."""
+"""Weight of a crashed run whose engine may have been dead before the request was sent to
+it; other runs have weight 1."""
 
 ENDS_ENOUGH = 3
-"""Ends of engines under one request after which it is run with care, if at all: by then it
-is likely to be what brings them about."""
+"""Number of engine crashes after which at most one copy of the request runs at a time: by
+then it is likely to be the cause."""
 
 MOST_ENDS = 6
-"""Ends of engines that are kept for one request."""
+"""Maximum number of engine crashes kept for one request."""
 
 
 class ToldEnd(msgspec.Struct, array_like=True):
-    """What one entry tells of the end of an engine under a request.
+    """An engine crash during a request, as one entry reports it to others.
 
     Attributes:
-        life: Of the engine.
-        sent_s: How long ago the request was sent to it, in seconds.
-        ended_s: How long ago it ended, in seconds.
-        is_sudden: Whether it may have ended before it was sent the request.
+        life: Incarnation of the engine.
+        sent_s: Time since the request was sent to it, in seconds.
+        ended_s: Time since it crashed, in seconds.
+        is_sudden: Whether it may have been dead before the request was sent to it.
     """
 
     life: str
@@ -42,13 +42,14 @@
 
 
 class Suspect(msgspec.Struct, array_like=True):
-    """What one entry tells of a request under which engines ended.
+    """The crash history of a request, as one entry reports it to others.
 
     Attributes:
         fingerprint: Of the request.
-        ends: Engines that ended under it.
-        cleared: Those of them that ended for another reason: it was answered since.
-        came_s: How long ago it came last, in seconds.
+        ends: Engine crashes while the request was running.
+        cleared: Incarnations among them that exited for another reason: the request has
+            completed since.
+        came_s: Time since the request last arrived, in seconds.
     """
 
     fingerprint: bytes
@@ -58,13 +59,13 @@
 
 
 class Run(NamedTuple):
-    """A run under which an engine ended.
+    """A run of a request during which the engine crashed.
 
     Attributes:
-        life: Of the engine.
-        sent: Steady time at which the request was sent to it, in seconds.
-        ended: Steady time of the end, in seconds.
-        is_sudden: Whether the engine may have ended before.
+        life: Incarnation of the engine.
+        sent: Monotonic time at which the request was sent to it, in seconds.
+        ended: Monotonic time of the crash, in seconds.
+        is_sudden: Whether the engine may have been dead before.
     """
 
     life: str
@@ -73,21 +74,22 @@
     is_sudden: bool = False
 
     @classmethod
-    def told(cls, end: ToldEnd, now: float) -> Run:
-        """Return the run of which another entry tells."""
-        return cls(end.life, now - end.sent_s, now - end.ended_s, end.is_sudden)
+    def told(cls, crash: ToldEnd, now: float) -> Run:
+        """Return the run that another entry reports."""
+        return cls(crash.life, now - crash.sent_s, now - crash.ended_s, crash.is_sudden)
 
 
 @dataclass(slots=True)
 class Record:
-    """What is known of one request.
+    """The crashes observed while one request was running.
 
     Attributes:
-        ends: Its runs under which an engine ended, by the engine's life.
-        cleared: Ends that it did not bring about.
-        came: Steady time at which it came last, in seconds.
-        changed: Steady time at which something new became known, in seconds.
-        tried: Steady time of the last trial here, in seconds.
+        ends: Its crashed runs, by incarnation of the engine.
+        cleared: Incarnations whose crash it did not cause.
+        came: Monotonic time at which it last arrived, in seconds.
+        changed: Monotonic time at which the history last changed, in seconds.
+        tried: Monotonic time of the last run that was let through here under restrictions,
+            as a probe or as the single copy, in seconds.
     """
 
     came: float
@@ -96,77 +98,79 @@
     ends: dict[str, Run] = field(default_factory=dict)
     cleared: set[str] = field(default_factory=set)
 
-    def runs(self, ended: Mapping[str, float]) -> list[Run]:
-        """Return the runs, one after the other, under which engines ended.
+    def runs(self, crashed_at: Mapping[str, float]) -> list[Run]:
+        """Return the crashed runs that did not overlap in time.
 
-        Runs at the same time count once: a whole service is killed at a moment, with the
-        same sound request under way at several engines.
+        Overlapping runs count once: a whole service may be killed at once while the same
+        harmless request is in flight at several of its engines.
 
         Args:
-            ended: Steady time of the first sign of each engine's end, in seconds.
+            crashed_at: Earliest known monotonic time of each engine's crash, in seconds.
         """
-        found: list[Run] = []
-        for run in self._suspected(ended):
-            if not found or run.sent >= found[-1].ended:
-                found.append(run)
-        return found
-
-    def signs(self, ended: Mapping[str, float]) -> float:
-        """Return what the runs count."""
-        return sum(SUDDEN_PART if run.is_sudden else 1.0 for run in self.runs(ended))
-
-    def late_runs(self, ended: Mapping[str, float]) -> int:
-        """Return how many runs were sent after `ENDS_ENOUGH` engines had ended."""
-        suspected = self._suspected(ended)
-        if len(suspected) < ENDS_ENOUGH:
+        sequential: list[Run] = []
+        for run in self._suspected(crashed_at):
+            if not sequential or run.sent >= sequential[-1].ended:
+                sequential.append(run)
+        return sequential
+
+    def signs(self, crashed_at: Mapping[str, float]) -> float:
+        """Return the sum of the weights of the runs."""
+        return sum(SUDDEN_PART if run.is_sudden else 1.0 for run in self.runs(crashed_at))
+
+    def late_runs(self, crashed_at: Mapping[str, float]) -> int:
+        """Return how many runs were sent after `SERIALIZE_AFTER` engines had crashed."""
+        runs = self._suspected(crashed_at)
+        if len(runs) < ENDS_ENOUGH:
             return 0
-        since = suspected[ENDS_ENOUGH - 1].ended
-        return sum(run.sent >= since for run in suspected)
+        since = runs[ENDS_ENOUGH - 1].ended
+        return sum(run.sent >= since for run in runs)
 
-    def is_doubted(self, ended: Mapping[str, float]) -> bool:
-        """Return whether `ENDS_ENOUGH` engines ended under it, be it at a moment."""
-        return len(self.ends) >= ENDS_ENOUGH <= len(self._suspected(ended))
+    def is_doubted(self, crashed_at: Mapping[str, float]) -> bool:
+        """Return whether `SERIALIZE_AFTER` engines crashed, even if all at once."""
+        return len(self.ends) >= ENDS_ENOUGH <= len(self._suspected(crashed_at))
 
-    def _suspected(self, ended: Mapping[str, float]) -> list[Run]:
-        """Return the runs that may have ended their engines, the earliest end first.
+    def _suspected(self, crashed_at: Mapping[str, float]) -> list[Run]:
+        """Return the runs that may have crashed their engines, the earliest crash first.
 
-        What was sent to an engine after its end was lost there, and did not end it.
+        A request that was sent to an engine after its crash was lost there and is not the
+        cause.
         """
-        found = [
+        suspected = [
             run
             for run in self.ends.values()
-            if run.life not in self.cleared and run.sent < ended.get(run.life, run.ended)
+            if run.life not in self.cleared
+            and run.sent < crashed_at.get(run.life, run.ended)
         ]
-        return sorted(found, key=lambda run: run.ended)
+        return sorted(suspected, key=lambda run: run.ended)
 
-    def add(self, run: Run, ended: Mapping[str, float]) -> bool:
-        """Add an end; return whether it is news."""
+    def add(self, run: Run, crashed_at: Mapping[str, float]) -> bool:
+        """Add a crashed run; return whether it is new."""
         known = self.ends.get(run.life)
         if known is not None:
-            # A message that was held up tells of an end as later than it was.
+            # A report that was delayed dates the crash too late.
             self.ends[run.life] = min(known, run, key=lambda run: run.ended)
             return False
         self.ends[run.life] = run
         if len(self.ends) > MOST_ENDS:
-            self._forget_one(ended)
+            self._forget_one(crashed_at)
         return run.life in self.ends
 
-    def _forget_one(self, ended: Mapping[str, float]) -> None:
-        """Forget an end that it did not bring about, else the latest that does not count.
+    def _forget_one(self, crashed_at: Mapping[str, float]) -> None:
+        """Drop a crash that it did not cause, else the latest one that does not count.
 
-        Six engines that end at a moment would else hide all that end later.
+        Otherwise six engines that crash at once would hide all later crashes.
         """
-        counted = self.runs(ended)
+        counted = self.runs(crashed_at)
 
-        def worth(run: Run) -> tuple[bool, bool, float]:
+        def priority(run: Run) -> tuple[bool, bool, float]:
             return run.life not in self.cleared, run in counted, -run.ended
 
-        life = min(self.ends.values(), key=worth).life
-        del self.ends[life]
-        self.cleared.discard(life)
+        incarnation = min(self.ends.values(), key=priority).life
+        del self.ends[incarnation]
+        self.cleared.discard(incarnation)
 
-    def clear(self, lives: Iterable[str]) -> bool:
-        """Take ends off it; return whether that is news."""
-        found = set(lives) & self.ends.keys() - self.cleared
-        self.cleared |= found
-        return bool(found)
+    def clear(self, incarnations: Iterable[str]) -> bool:
+        """Mark crashes as not caused by it; return whether that is new."""
+        newly_cleared = set(incarnations) & self.ends.keys() - self.cleared
+        self.cleared |= newly_cleared
+        return bool(newly_cleared)
