--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -89,7 +89,7 @@
     Edit(
         "limits let in evenly",
         "direct/spending.py",
-        "        if not self._is_even(organisation, steps):",
+        "        if not self._is_even(organisation, buckets):",
         "        if False:",
     ),
     Edit(
@@ -101,8 +101,8 @@
     Edit(
         "what peers spent since they told",
         "direct/spending.py",
-        "            unseen = self._untold(steps, now)\n",
-        "            unseen = 0\n",
+        "            unreported = self._untold(buckets, now)\n",
+        "            unreported = 0\n",
     ),
     Edit(
         "failing endpoints left alone",
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -357,13 +357,13 @@
     Edit(
         "an end at another entry counts",
         "direct/crash_reports.py",
-        "            if self.crashers.take(suspect):",
+        "            if self.crashers.take(report):",
         "            if False:",
     ),
     Edit(
         "an end counts though the caller had left before it",
         "direct/crash_reports.py",
-        "            self._await(loss._replace(is_cut=False))\n",
+        "            self._await(request._replace(is_cut=False))\n",
         "            pass\n",
     ),
     Edit(
@@ -375,14 +375,14 @@
     Edit(
         "entries that start together share the rest of a limit",
         "direct/spending.py",
-        "        return own * self._peers.unheard + untold * len(self._peers.fresh(now))\n",
+        "        return used * self._peers.unheard + unreported * len(self._peers.fresh(now))\n",
         "        return 0\n",
     ),
     Edit(
         "tokens that are given back count from when they were spent",
         "direct/spending.py",
-        "            self._add(organisation.name, -tokens, spent)\n",
-        "            self._add(organisation.name, -tokens, spent + 2.0)\n",
+        "            self._add(organisation.name, -tokens, used_at)\n",
+        "            self._add(organisation.name, -tokens, used_at + 2.0)\n",
     ),
     Edit(
         "runs at the same time count once",
@@ -417,14 +417,14 @@
     Edit(
         "an answer to others does not clear what was given up a moment ago",
         "direct/crash_reports.py",
-        "            if not loss.is_cut and loss.at >= since:\n",
+        "            if not request.is_cut and request.at >= since:\n",
         "            if False:\n",
     ),
     Edit(
         "what a caller left early counts whole",
         "direct/crash_reports.py",
-        "            self._await(loss._replace(is_cut=False))\n",
-        "            self._await(loss)\n",
+        "            self._await(request._replace(is_cut=False))\n",
+        "            self._await(request)\n",
     ),
     Edit(
         "an answer clears what was seen before it",
@@ -435,7 +435,7 @@
     Edit(
         "a connection that breaks is no end while somebody listens",
         "direct/crash_reports.py",
-        "        if self._has_ended(loss.row):",
+        "        if self._has_ended(request.row):",
         "        if True:",
     ),
     Edit(
--- a/dockreach/direct/crash_reports.py
+++ b/dockreach/direct/crash_reports.py
@@ -1,4 +1,4 @@
-"""Finds out whether an engine has ended under a request, and tells the other entries."""
+"""Detects engines that crash during a request, and reports them to the other entries."""
 
 from __future__ import annotations
 
@@ -18,38 +18,41 @@
 from .http1 import ConnectError
 
 CLOSED_S = 0.05
-"""Time in which something that goes on to listen for an ended engine closes a connection,
-in seconds: a proxy before it. One that lives waits for a request."""
+"""Time within which a proxy that still listens for an exited engine closes a connection, in
+seconds. A running engine waits for a request."""
 
 AWAITED_S = 6.0
-"""How long it is awaited that the platform tells of the end, in seconds, where an engine
-that is back at once takes connections like the old one: three heartbeats of silence."""
+"""How long an unanswered request waits for the platform to report the engine's exit, in
+seconds: three missed heartbeats. An engine that is back at once accepts connections like
+the old one, so that connecting to it shows nothing."""
 
 AT_WORK_S = 1.0
-"""How long an engine may work on when a request is given up, in seconds: twice the time in
-which it is to stop. Else any answer in that time hides that it ends under the request."""
+"""How long an engine may go on with an abandoned request, in seconds: twice the time within
+which it should stop. Without this allowance any response of the engine in that time would
+hide that the request crashes it."""
 
 MOST_AWAITED = 64
-"""Engines of which an end is awaited."""
+"""Maximum number of engines with unanswered requests that wait for a reported exit."""
 
 MOST_LOSSES = 16
-"""Requests that are kept for each of them, the latest: as many as run there at a time."""
+"""Maximum number of such requests per engine, the latest ones: as many as run there at a
+time."""
 
 TELL_AGAIN_S = (0.1, 0.4, 1.2)
-"""After how long it is told again that a request is barred, in seconds: of four datagrams
-one arrives on a link that loses half, before the next try of most callers. A first end is
-told once, and then with digests: at 300 entries each telling takes 300 datagrams."""
+"""Delays after which the report on a quarantined request is sent again, in seconds: of four
+datagrams one arrives on a link that loses half, before most callers retry. A first crash is
+reported once, and then with digests: at 300 entries each report takes 300 datagrams."""
 
 MOST_GREETED = 16
-"""Requests that are told at once to an entry that has just started."""
+"""Maximum number of requests reported at once to an entry that has just started."""
 
 
 class Source(NamedTuple):
     """Where a request comes from, for on-call engineers.
 
     Attributes:
-        path: That it asks for.
-        organisation: Whose key it carries.
+        path: Requested path.
+        organisation: Organisation whose key the request carries.
     """
 
     path: str
@@ -57,16 +60,16 @@
 
 
 UNSEEN = Source("", "")
-"""Of a request that has not come here since other entries told of it."""
+"""Source of a request that has not arrived here since other entries reported it."""
 
 
 class BarredRequest(NamedTuple):
-    """A request that is not run any more.
+    """A quarantined request.
 
     Attributes:
-        fingerprint: The same for each of its tries.
+        fingerprint: The same each time the request is sent.
         source: Where it comes from.
-        ended_s: How long ago an engine ended last under it, in seconds.
+        ended_s: Time since it last crashed an engine, in seconds.
     """
 
     fingerprint: bytes
@@ -75,18 +78,18 @@
 
 
 class Loss(NamedTuple):
-    """A request without an answer, whose engine may have ended under it.
+    """A request without a complete response, whose engine may have crashed.
 
-    It had made no event, or had begun a moment ago.
+    It had produced no event, or had only just begun to.
 
     Attributes:
-        path: Of the request.
-        fingerprint: The same for each of its tries.
-        organisation: Whose key it carries.
+        path: Requested path.
+        fingerprint: The same each time the request is sent.
+        organisation: Organisation whose key the request carries.
         row: The engine.
-        sent: Steady time at which it was sent there, in seconds.
-        at: Steady time at which it was given up, in seconds.
-        is_cut: Whether its connection broke; else the entry gave it up.
+        sent: Monotonic time at which the request was sent to it, in seconds.
+        at: Monotonic time at which its connection broke or it was abandoned, in seconds.
+        is_cut: Whether the connection broke; otherwise the entry abandoned the request.
     """
 
     path: str
@@ -99,15 +102,15 @@
 
 
 class CrashReports:
-    """Reports the ends of engines under requests of this entry.
+    """Reports engine crashes during requests of this entry.
 
     Args:
-        crashers: What all entries have seen.
-        endpoints: Where the requests were sent.
-        send_all: Tells all other entries.
-        clock: Returns the time, in seconds.
-        connect_s: Longest wait for a connection to an engine, in seconds.
-        refuse: Refuses what waits here of a request that is not to be run any more.
+        crashers: Crashes that all entries have observed, and the requests they quarantine.
+        endpoints: Endpoints that requests are sent to.
+        send_all: Sends an update to all other entries.
+        clock: Returns the monotonic time, in seconds.
+        connect_s: Maximum time to establish a connection to an engine, in seconds.
+        refuse: Refuses the copies of a quarantined request that wait here.
     """
 
     def __init__(
@@ -132,96 +135,103 @@
             MOST_KEPT, ttl=KEPT_S, timer=clock
         )
 
-    def lost(self, loss: Loss) -> None:
-        """Look whether an engine has ended on which a request was lost."""
-        if self._is_to_stay(loss.row):
-            eventlet.spawn_n(self._look, loss)
+    def lost(self, request: Loss) -> None:
+        """Check whether the engine of a request whose connection broke has crashed."""
+        if self._is_to_stay(request.row):
+            eventlet.spawn_n(self._look, request)
 
-    def left(self, loss: Loss) -> None:
-        """Await the end of an engine that still worked on a request when it was given up.
+    def left(self, request: Loss) -> None:
+        """Wait for the exit of an engine that was running a request when it was abandoned.
 
-        Else a body whose callers leave before it ends its engine ends one each time.
+        Otherwise a request whose callers disconnect before it crashes its engine would
+        crash one each time, uncounted.
         """
-        if self._is_to_stay(loss.row):
-            self._await(loss._replace(is_cut=False))
+        if self._is_to_stay(request.row):
+            self._await(request._replace(is_cut=False))
 
     def _is_to_stay(self, row: EndpointRow) -> bool:
-        """Return whether an engine is to go on: what runs at its end may be why it ends.
+        """Return whether an engine is expected to keep running.
 
-        One that leaves ends by order, and what is still under way there is cut.
+        If it is, a request that runs there when it exits may be the cause. A leaving engine
+        is shut down on purpose, which cuts off the requests still in flight there.
         """
         return not row.is_leaving and self._endpoints.get(row.id) is not None
 
-    def _look(self, loss: Loss) -> None:
-        if self._has_ended(loss.row):
-            self._note_end(loss)
-            self._note_awaited(loss.row)
+    def _look(self, request: Loss) -> None:
+        if self._has_ended(request.row):
+            self._note_end(request)
+            self._note_awaited(request.row)
         else:
-            self._await(loss)
+            self._await(request)
 
-    def _await(self, loss: Loss) -> None:
-        losses = self._awaited.get(loss.row.life) or deque(maxlen=MOST_LOSSES)
-        losses.append(loss)
-        # Written anew, so that the last loss is kept for as long as the first.
-        self._awaited[loss.row.life] = losses
+    def _await(self, request: Loss) -> None:
+        requests = self._awaited.get(request.row.life) or deque(maxlen=MOST_LOSSES)
+        requests.append(request)
+        # Stored again to restart the expiry time, so that the last request is kept as long
+        # as the first.
+        self._awaited[request.row.life] = requests
 
     def ended(self, row: EndpointRow) -> None:
-        """Note that an engine has gone or started again, by the platform's word."""
+        """Record that the platform reports an engine as gone or restarted."""
         if row.is_leaving:
             self._awaited.pop(row.life, None)
         else:
             self._note_awaited(row)
 
     def _note_awaited(self, row: EndpointRow) -> None:
-        """Note the end of an engine under all that was given up there lately."""
+        """Record a crash for all requests that were abandoned at an engine lately."""
         since = self._clock() - AWAITED_S
-        for loss in self._awaited.pop(row.life, ()):
-            if loss.at >= since:
-                self._note_end(loss)
+        for request in self._awaited.pop(row.life, ()):
+            if request.at >= since:
+                self._note_end(request)
 
     def lives(self, row: EndpointRow) -> None:
-        """Note that an engine answers: what was lost there before did not end it.
+        """Record a response from an engine: requests lost there before did not crash it.
 
-        It may still work on what was given up a moment ago.
+        It may still be running requests that were abandoned a moment ago.
         """
-        losses = self._awaited.pop(row.life, ()) if self._awaited else ()
+        requests = self._awaited.pop(row.life, ()) if self._awaited else ()
         since = self._clock() - AT_WORK_S
-        for loss in losses:
-            if not loss.is_cut and loss.at >= since:
-                self._await(loss)
-
-    def _note_end(self, loss: Loss) -> None:
-        fingerprint, life = loss.fingerprint, loss.row.life
-        is_news = self.crashers.note_end(
-            fingerprint, life, sent=loss.sent, ended=loss.at, is_cut=loss.is_cut
+        for request in requests:
+            if not request.is_cut and request.at >= since:
+                self._await(request)
+
+    def _note_end(self, request: Loss) -> None:
+        fingerprint, incarnation = request.fingerprint, request.row.life
+        is_new = self.crashers.note_end(
+            fingerprint,
+            incarnation,
+            sent=request.sent,
+            ended=request.at,
+            is_cut=request.is_cut,
         )
-        if not is_news:
+        if not is_new:
             return
-        is_barred = self.crashers.is_barred(fingerprint)
-        self.came(fingerprint, Source(loss.path, loss.organisation))
+        is_quarantined = self.crashers.is_barred(fingerprint)
+        self.came(fingerprint, Source(request.path, request.organisation))
         log(
             Event.REQUEST_CRASHED,
-            endpoint=loss.row.id,
+            endpoint=request.row.id,
             fingerprint=fingerprint.hex(),
-            organisation=loss.organisation,
-            path=loss.path,
-            is_barred=is_barred,
+            organisation=request.organisation,
+            path=request.path,
+            is_barred=is_quarantined,
         )
-        if is_barred:
-            log(Event.REQUEST_BARRED, fingerprint=fingerprint.hex(), path=loss.path)
+        if is_quarantined:
+            log(Event.REQUEST_BARRED, fingerprint=fingerprint.hex(), path=request.path)
             self._refuse(fingerprint)
-            for pause_s in TELL_AGAIN_S:
-                eventlet.spawn_after(pause_s, self._tell, fingerprint)
+            for delay_s in TELL_AGAIN_S:
+                eventlet.spawn_after(delay_s, self._tell, fingerprint)
         self._tell(fingerprint)
 
     def _has_ended(self, row: EndpointRow) -> bool:
-        """Return whether no engine listens where one listened.
+        """Return whether the engine no longer listens at its address.
 
-        Without this a reset of all connections, an answer that breaks off and bytes that
-        are none would count as ends.
+        Without this check a reset of all connections, a truncated response and an invalid
+        one would count as crashes.
         """
         if self._endpoints.get(row.id) is not row:
-            # It has started again: the address is that of its next life.
+            # It has restarted: the address belongs to its next incarnation.
             return True
         try:
             conn = EndpointConnection(row.published.address, self._connect_s)
@@ -233,38 +243,40 @@
         return not is_open
 
     def came(self, fingerprint: bytes, source: Source) -> None:
-        """Note where a request comes from under which engines have ended."""
+        """Record the source of a request that has crashed engines."""
         self._sources[fingerprint] = source
 
     def barred(self) -> list[BarredRequest]:
-        """Return what is not run any more; that under which an engine ended last first."""
+        """Return the quarantined requests, the one with the latest crash first."""
         now = self._clock()
-        found = [
-            BarredRequest(fingerprint, self._sources.get(fingerprint, UNSEEN), now - ended)
-            for fingerprint, ended in self.crashers.barred().items()
+        requests = [
+            BarredRequest(
+                fingerprint, self._sources.get(fingerprint, UNSEEN), now - crashed_at
+            )
+            for fingerprint, crashed_at in self.crashers.barred().items()
         ]
-        return sorted(found, key=lambda request: request.ended_s)
+        return sorted(requests, key=lambda request: request.ended_s)
 
     def answered(self, fingerprint: bytes) -> None:
-        """Note that a request was answered: it crashes nothing."""
+        """Record that a request completed: it is harmless."""
         if self.crashers.note_answered(fingerprint):
             self._tell(fingerprint)
 
     def _tell(self, fingerprint: bytes) -> None:
-        suspects = self.crashers.tell(fingerprint)
-        if suspects:
-            self._send_all(CrashNews(suspects))
+        reports = self.crashers.tell(fingerprint)
+        if reports:
+            self._send_all(CrashNews(reports))
 
     def greeting(self) -> CrashNews | None:
-        """Return what an entry that has just started is told; ``None`` for nothing."""
-        suspects = self.crashers.tell_held(MOST_GREETED)
-        return CrashNews(suspects) if suspects else None
-
-    def take(self, suspects: list[Suspect]) -> None:
-        """Take in what another entry tells."""
-        for suspect in suspects:
-            if self.crashers.take(suspect):
-                log(Event.REQUEST_BARRED, fingerprint=suspect.fingerprint.hex(), path="")
-                self._refuse(suspect.fingerprint)
-            if self.crashers.vouch(suspect.fingerprint):
-                self._tell(suspect.fingerprint)
+        """Return the update for an entry that has just started; ``None`` if empty."""
+        reports = self.crashers.tell_held(MOST_GREETED)
+        return CrashNews(reports) if reports else None
+
+    def take(self, reports: list[Suspect]) -> None:
+        """Merge the reports of another entry."""
+        for report in reports:
+            if self.crashers.take(report):
+                log(Event.REQUEST_BARRED, fingerprint=report.fingerprint.hex(), path="")
+                self._refuse(report.fingerprint)
+            if self.crashers.vouch(report.fingerprint):
+                self._tell(report.fingerprint)
--- a/dockreach/direct/end_record.py
+++ b/dockreach/direct/end_record.py
@@ -1,4 +1,4 @@
-"""What is counted and logged when a request has ended."""
+"""Metrics and log line of a request that has ended."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class EndRecord:
-    """What is known of a request when it has ended.
+    """What is known about a request that has ended.
 
     Args:
-        ctx: What the entry knows.
+        ctx: State shared by all requests of the entry.
         req: The request.
-        call: What the configuration says of it; ``None`` if it has no route or key.
-        forwarded: Its attempts; ``None`` if there were none.
+        call: What the configuration prescribes for it; ``None`` without a route or key.
+        forwarded: Its upstream attempts; ``None`` if there were none.
     """
 
     def __init__(
@@ -40,11 +40,11 @@
     def write(
         self, event: Event, outcome: Outcome, refusal: Refusal | None, *, revision: int
     ) -> None:
-        """Count and log how the request ended."""
+        """Count and log the outcome of the request."""
         reason = refusal.reason.value if refusal is not None else ""
-        held_s = self._ctx.now() - self._req.arrived
+        duration_s = self._ctx.now() - self._req.arrived
         if self._call is not None:
-            self._count(self._call, outcome, reason, held_s)
+            self._count(self._call, outcome, reason, duration_s)
             self._observe_first(self._call)
         log(
             event,
@@ -53,54 +53,54 @@
             outcome=outcome.value,
             reason=reason,
             detail=refusal.detail if refusal is not None else "",
-            held_ms=round(held_s * 1000),
+            held_ms=round(duration_s * 1000),
             peers=self._ctx.entries - 1,
             **self._call_fields(),
             **self._forward_fields(),
         )
 
-    def _count(self, call: Call, outcome: Outcome, reason: str, held_s: float) -> None:
-        ending = Ending(
-            route=call.route.name,
-            tier=call.route.tier,
+    def _count(self, plan: Call, outcome: Outcome, reason: str, duration_s: float) -> None:
+        key = Ending(
+            route=plan.route.name,
+            tier=plan.route.tier,
             outcome=outcome,
             reason=reason,
-            returned=call.tried_at < self._req.arrived,
+            returned=plan.tried_at < self._req.arrived,
         )
-        objective_s = call.route.objective_s
-        self._ctx.tally.add(ending, held_s / objective_s if objective_s else 0.0)
+        objective_s = plan.route.objective_s
+        self._ctx.tally.add(key, duration_s / objective_s if objective_s else 0.0)
 
-    def _observe_first(self, call: Call) -> None:
-        """Count the time from the caller's first try to what it got first."""
+    def _observe_first(self, plan: Call) -> None:
+        """Observe the time from the caller's first attempt to the first event or response."""
         if self._progress.first_at is not None:
             self._ctx.metrics.observe(
                 "dockreach_direct_first_event_seconds",
                 "Time from a caller's first try to the first event or a plain answer",
-                self._progress.first_at - call.tried_at,
-                {"route": call.route.name, "tier": str(call.route.tier)},
+                self._progress.first_at - plan.tried_at,
+                {"route": plan.route.name, "tier": str(plan.route.tier)},
             )
 
     def _call_fields(self) -> dict[str, Any]:
-        """Return what the configuration says of the request, for its log line."""
-        call = self._call
-        if call is None:
+        """Return the log fields for what the configuration prescribes."""
+        plan = self._call
+        if plan is None:
             return {"route": "none", "organisation": "", "fingerprint": ""}
         return {
-            "route": call.route.name,
-            "tier": call.route.tier,
-            "organisation": call.organisation_name,
-            "fingerprint": call.fingerprint.hex(),
-            "objective_ms": round(call.route.objective_s * 1000),
-            "tried_ms": round((self._req.arrived - call.tried_at) * 1000),
+            "route": plan.route.name,
+            "tier": plan.route.tier,
+            "organisation": plan.organisation_name,
+            "fingerprint": plan.fingerprint.hex(),
+            "objective_ms": round(plan.route.objective_s * 1000),
+            "tried_ms": round((self._req.arrived - plan.tried_at) * 1000),
         }
 
     def _forward_fields(self) -> dict[str, Any]:
-        """Return what was known when the request was placed, for its log line."""
-        forwarded = self._forwarded
-        placement = (forwarded and forwarded.placement) or NOWHERE
+        """Return the log fields for the response and the last placement."""
+        forwarder = self._forwarded
+        placement = (forwarder and forwarder.placement) or NOWHERE
         first_s = (self._progress.first_at or self._req.arrived) - self._req.arrived
         return {
-            "attempts": len(forwarded.attempts) if forwarded else 0,
+            "attempts": len(forwarder.attempts) if forwarder else 0,
             "events": self._progress.events,
             "first_ms": round(first_s * 1000),
             "gap_ms": round(self._progress.longest_gap_s * 1000),
--- a/dockreach/direct/outcomes.py
+++ b/dockreach/direct/outcomes.py
@@ -1,4 +1,4 @@
-"""How callers were served, counted from their first try."""
+"""How well callers were served, measured from their first attempt."""
 
 from __future__ import annotations
 
@@ -20,28 +20,28 @@
 
 
 class Outcome(enum.StrEnum):
-    """How one try of a caller ended."""
+    """How one attempt of a caller ended."""
 
     IN_TIME = "in_time"
-    """Whole, within its objective, without a pause beyond the gap objective."""
+    """Complete, within its objective, without a gap beyond the gap objective."""
 
     LATE_FIRST = "late_first"
-    """Whole, but its first event, or a plain answer, came after its objective."""
+    """Complete, but the first event, or a plain response, came after the objective."""
 
     LATE_GAP = "late_gap"
-    """Whole, but with a pause between events beyond the gap objective."""
+    """Complete, but with a gap between events beyond the gap objective."""
 
     FAILED = "failed"
-    """An endpoint's own failure was passed on."""
+    """An endpoint's own error response was passed on."""
 
     REFUSED = "refused"
     """Not run."""
 
     LOST = "lost"
-    """It may have run, and has no answer."""
+    """It may have run, but there is no response."""
 
     CUT = "cut"
-    """The answer was broken off."""
+    """The response was truncated."""
 
     LEFT = "left"
     """The caller closed its connection first."""
@@ -51,13 +51,13 @@
 
 
 class Progress:
-    """What of an answer went to the caller so far.
+    """What part of a response the caller has received so far.
 
     Attributes:
-        events: Events of a stream that were passed on.
-        first_at: Steady time of the first event or of a plain answer, in seconds.
-        longest_gap_s: Longest pause between events, in seconds.
-        is_failure: Whether the answer is an endpoint's own failure.
+        events: Number of stream events that were passed on.
+        first_at: Monotonic time of the first event or of a plain response, in seconds.
+        longest_gap_s: Longest gap between events, in seconds.
+        is_failure: Whether the response is an endpoint's own error response.
     """
 
     __slots__ = ("_last_at", "events", "first_at", "is_failure", "longest_gap_s")
@@ -70,7 +70,7 @@
         self._last_at = 0.0
 
     def count(self, events: int, now: float) -> None:
-        """Note that events, or a plain answer, were passed on just now."""
+        """Record that events, or a plain response, were just passed on."""
         if self.first_at is None:
             self.first_at = now
         else:
@@ -79,17 +79,17 @@
         self.events += events
 
 
-def judge_answer(route: Route, progress: Progress, tried_at: float) -> Outcome:
-    """Return how an answer that ended whole served its caller.
+def judge_answer(route: Route, progress: Progress, first_attempt_at: float) -> Outcome:
+    """Return how well a complete response served its caller.
 
     Args:
         route: The request's route.
-        progress: What went to the caller.
-        tried_at: Steady time of the caller's first try, in seconds.
+        progress: What the caller received, and when.
+        first_attempt_at: Monotonic time of the caller's first attempt, in seconds.
     """
     if progress.is_failure or progress.first_at is None:
         return Outcome.FAILED
-    if progress.first_at - tried_at > route.objective_s:
+    if progress.first_at - first_attempt_at > route.objective_s:
         return Outcome.LATE_FIRST
     if route.gap_objective_s and progress.longest_gap_s > route.gap_objective_s:
         return Outcome.LATE_GAP
@@ -98,12 +98,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Ending:
-    """What is counted together.
+    """Key under which attempts are counted together.
 
     Attributes:
         tier: The route's tier; 0 is the highest.
-        reason: Why the try was not served; empty if it was.
-        returned: Whether its caller had tried before.
+        reason: Why the attempt was not served; empty if it was.
+        returned: Whether the caller had tried before.
     """
 
     route: str
@@ -113,7 +113,7 @@
     returned: bool
 
     def labels(self) -> dict[str, str]:
-        """Return the labels of its counts on the metrics page."""
+        """Return the labels of its counters on the metrics page."""
         return {
             "route": self.route,
             "tier": str(self.tier),
@@ -124,11 +124,11 @@
 
     @classmethod
     def from_labels(cls, labels: Mapping[str, str]) -> Ending:
-        """Return what labels of a metrics page stand for.
+        """Return the key that labels of a metrics page describe.
 
         Raises:
             KeyError: A label is missing.
-            ValueError: A label is of another version.
+            ValueError: A label has a value that this version does not know.
         """
         return cls(
             route=labels["route"],
@@ -140,26 +140,27 @@
 
 
 class Tally:
-    """Counts all tries, none left out, by how they ended."""
+    """Counts all attempts of callers by how they ended, without sampling."""
 
     def __init__(self) -> None:
         self.tries: Counter[Ending] = Counter()
         self._held: dict[Ending, float] = {}
 
-    def add(self, ending: Ending, held: float) -> None:
-        """Count one try.
+    def add(self, key: Ending, objectives: float) -> None:
+        """Count one attempt.
 
         Args:
-            ending: How it ended.
-            held: How long it was held if it was not served, in objectives of its route.
+            key: How it ended.
+            objectives: How long the caller waited, in multiples of the route's objective;
+                counts only if the attempt was not served.
         """
-        self.tries[ending] += 1
-        if ending.outcome not in SERVED:
-            self._held[ending] = self._held.get(ending, 0.0) + held
+        self.tries[key] += 1
+        if key.outcome not in SERVED:
+            self._held[key] = self._held.get(key, 0.0) + objectives
 
     def samples(self) -> Iterator[Sample]:
-        """Return the counts for the metrics page."""
-        for ending, count in self.tries.items():
-            yield Sample(TRIES, _TRIES_HELP, count, ending.labels())
-        for ending, held in self._held.items():
-            yield Sample(HELD, _HELD_HELP, held, ending.labels())
+        """Yield the counters for the metrics page."""
+        for key, count in self.tries.items():
+            yield Sample(TRIES, _TRIES_HELP, count, key.labels())
+        for key, objectives in self._held.items():
+            yield Sample(HELD, _HELD_HELP, objectives, key.labels())
--- a/dockreach/direct/retrying.py
+++ b/dockreach/direct/retrying.py
@@ -1,4 +1,4 @@
-"""The budget for sending a request to another endpoint, shared by all entries."""
+"""Budget for retries at other endpoints, shared by all entries."""
 
 from __future__ import annotations
 
@@ -6,16 +6,17 @@
 from dataclasses import dataclass
 
 RESERVE = 0.7
-"""Part of the budget that is used; the rest covers what peers are not yet known to do."""
+"""Fraction of the budget that is used; the rest covers retries of peers that
+this entry does not know yet."""
 
 
 @dataclass(frozen=True, slots=True)
 class RetryPolicy:
-    """How many repeats are allowed.
+    """How many retries are allowed.
 
     Attributes:
-        ratio: Repeats for each request of a service in the window.
-        burst: Repeats in the window besides, over all entries.
+        ratio: Retries per request of a service in the window.
+        burst: Additional retries in the window, over all entries.
         window_s: Length of the sliding window, in seconds.
     """
 
@@ -25,10 +26,10 @@
 
 
 class RetryBudget:
-    """Counts one entry's requests and repeats, by service.
+    """Counts one entry's requests and retries, by service.
 
-    The burst is split evenly over the entries that may be alive; the ratio needs no
-    split, since each entry counts only its own requests.
+    The burst is split evenly over the entries that may be alive; the ratio needs no split,
+    since each entry counts only its own requests.
     """
 
     def __init__(self, policy: RetryPolicy) -> None:
@@ -37,7 +38,7 @@
         self._repeats: dict[str, deque[float]] = {}
 
     def count_request(self, service: str, now: float) -> None:
-        """Count a request that callers sent for a service."""
+        """Count a request that a caller sent for a service."""
         self._window(self._requests, service, now).append(now)
 
     def take(self, service: str, entries: int, now: float) -> bool:
@@ -46,20 +47,20 @@
         Args:
             service: The service that the request goes to.
             entries: Entries that may be alive, this one included.
-            now: Steady time, in seconds.
+            now: Monotonic time, in seconds.
         """
         requests = self._window(self._requests, service, now)
-        repeats = self._window(self._repeats, service, now)
+        retries = self._window(self._repeats, service, now)
         allowed = self.policy.ratio * len(requests) + self.policy.burst / max(entries, 1)
-        if len(repeats) + 1 > RESERVE * allowed:
+        if len(retries) + 1 > RESERVE * allowed:
             return False
-        repeats.append(now)
+        retries.append(now)
         return True
 
     def _window(
-        self, table: dict[str, deque[float]], service: str, now: float
+        self, times_by_service: dict[str, deque[float]], service: str, now: float
     ) -> deque[float]:
-        times = table.setdefault(service, deque())
+        times = times_by_service.setdefault(service, deque())
         while times and times[0] <= now - self.policy.window_s:
             times.popleft()
         return times
--- a/dockreach/direct/spending.py
+++ b/dockreach/direct/spending.py
@@ -1,9 +1,9 @@
-"""Limits on organisations' tokens, held by all entries together.
+"""Token quotas of organisations, enforced by all entries together.
 
-Each entry tells the others what it spent in each of the last seconds. What counts against
-a limit is the sum over all of them. A peer that falls silent may go on spending unseen.
-From then on each side takes only its own part of what was left, so that both together
-stay within the bound.
+Each entry reports to the others how many tokens it let its callers use in each of the last
+seconds; the sum over all entries counts against the quota. A peer that falls silent may
+still admit requests without being seen. From then on each side uses only its own share of
+what was left, so that both together stay within the hard limit.
 """
 
 from __future__ import annotations
@@ -18,49 +18,50 @@
 from .peers import PeerRow, PeerTable
 
 AIM = 1.15
-"""Part of what is owed in a window up to which requests are let in while all peers are
-heard. Requests count for the most tokens that they may make, which is more than they do:
-at 1.03 a seventh of the chats of a quiet day were refused. The more is let in, the less is
-left after all entries lost their memory: at 1.25 a twentieth of a window."""
+"""Multiple of the quota of a window up to which requests are admitted while all peers are
+reachable. A request counts with the maximum number of tokens it may generate, which is more
+than it does generate: at 1.03 a seventh of the chats of a quiet day were refused. The more
+is admitted, the less is left after all entries lost their state: at 1.25 a twentieth of a
+window."""
 
 SAFE = 0.95
-"""Part of what the platform tolerates that is ever used; the rest covers what peers
-spend between two digests."""
+"""Fraction of the platform's tolerance that is ever used; the rest covers what peers use
+between two digests."""
 
 LOWER_TIER = 0.04
-"""Part of each bound that a tier leaves to each higher one, so that an organisation near
-its limit loses its chats first."""
+"""Fraction of each limit that a tier leaves to each higher one, so that an organisation
+near its quota loses its chats first."""
 
 MOST_TIERS = 3
-"""Tiers that are told apart by `LOWER_TIER`; the users have three."""
+"""Number of tiers that `TIER_RESERVE_FRACTION` distinguishes; the users have three."""
 
 AT_ONCE = 0.3
-"""Part of a window's tokens that may be spent at once; the rest is let in evenly over the
-window. It bounds what entries that all lost their memory may have spent just before, and
-refuses nothing to an organisation below four times its rate."""
+"""Fraction of a window's tokens that may be used at once; the rest is admitted evenly over
+the window. This bounds what entries that all lost their state may have admitted just
+before, and refuses nothing to an organisation below four times its rate."""
 
 SOONEST_S = 0.25
-"""Least time after which a caller over its limit is told to come back, in seconds."""
+"""Minimum time after which a caller over its quota is asked to retry, in seconds."""
 
 FIND_S = 0.15
-"""How long an entry that remembers nothing waits to hear the others that are named to it,
-in seconds: they start within some 0.05 s of it, and tell twice in this time. Without the
-wait 12 entries and more do not know yet how many share a limit: up to 1.28 of the bound
-(cores alone, 10 times the limit asked for)."""
+"""How long an entry without state waits for the first digests of the peers it knows by
+address, in seconds: they start within some 0.05 s of it and send two digests in this time.
+Without the wait 12 and more entries do not know yet how many share a quota, and admitted up
+to 1.28 times the hard limit (simulation, 10 times the quota requested)."""
 
 STEP_S = 0.5
-"""Amounts are kept for steps of this length, in seconds. The current step comes on top of
-a whole window, so that up to one step more than the window is counted."""
+"""Length of the time buckets in which usage is counted, in seconds. The current bucket
+comes on top of a whole window, so that up to one bucket more than the window is counted."""
 
 
 @dataclass(frozen=True, slots=True)
 class Tolerance:
-    """How far a limit may be exceeded.
+    """How far a quota may be exceeded.
 
     Attributes:
         window_s: Length of the sliding window, in seconds.
-        over: Part of the limit by which it may be exceeded.
-        slack: Tokens by which it may be exceeded besides.
+        over: Fraction of the quota by which it may be exceeded.
+        slack: Tokens by which it may be exceeded in addition.
     """
 
     window_s: float = 8.0
@@ -68,40 +69,40 @@
     slack: float = 0.0
 
     def owed(self, organisation: Organisation) -> float:
-        """Return the tokens in one window that the organisation has a right to."""
+        """Return the number of tokens that the organisation may use in one window."""
         return organisation.rate * self.window_s + organisation.burst
 
     def most(self, organisation: Organisation) -> float:
-        """Return the tokens in one window that must not be exceeded."""
+        """Return the number of tokens in one window that must not be exceeded."""
         return self.owed(organisation) * (1 + self.over) + self.slack
 
 
 class Clause(enum.StrEnum):
-    """Which part of a limit refuses a request."""
+    """Rule of a quota that refuses a request."""
 
     WINDOW = "window"
-    """The window holds what is let in."""
+    """The window is full."""
 
     AT_ONCE = "at once"
-    """Too much came in a part of the window."""
+    """Too much was used in one part of the window."""
 
     BOUND = "bound"
-    """The window would exceed its bound, with what may have been spent in the past."""
+    """The window would exceed the hard limit, with usage assumed before a restart."""
 
     SILENT = "silent peers"
-    """The window would exceed its bound if peers that are not heard spend as well."""
+    """The window would exceed the hard limit if silent peers use tokens as well."""
 
 
 @dataclass(frozen=True, slots=True)
 class OverLimit:
-    """A request that its organisation's limit does not allow now.
+    """Refusal of a request by its organisation's quota.
 
     Attributes:
-        clause: Which part of the limit refuses it.
-        wait_s: Seconds after which to ask again.
-        spent: Tokens that all entries spent in the window, as far as known here.
-        asked: Tokens that the request would spend.
-        owed: Tokens that the organisation has a right to in a window.
+        clause: Rule that refuses it.
+        wait_s: Time after which to retry, in seconds.
+        spent: Tokens that all entries used in the window, as far as known here.
+        asked: Tokens that the request would use.
+        owed: Tokens that the organisation may use in a window.
     """
 
     clause: Clause
@@ -111,13 +112,13 @@
     owed: int
 
     def __str__(self) -> str:
-        """Return the figures that decided."""
-        told = f"spent {self.spent} of {self.owed} tokens, asks for {self.asked}"
-        return f"{self.clause.value}: {told}"
+        """Return the rule and the figures that decided."""
+        figures = f"used {self.spent} of {self.owed} tokens, requested {self.asked}"
+        return f"{self.clause.value}: {figures}"
 
 
 class _Steps:
-    """Amounts in each of the last steps of time."""
+    """Token counts in time buckets."""
 
     __slots__ = ("_amounts",)
 
@@ -125,26 +126,26 @@
         self._amounts: dict[int, int] = {}
 
     def add(self, amount: int, now: float) -> None:
-        step = int(now / STEP_S)
-        self._amounts[step] = self._amounts.get(step, 0) + amount
+        bucket = int(now / STEP_S)
+        self._amounts[bucket] = self._amounts.get(bucket, 0) + amount
 
-    def back(self, now: float, kept_s: float) -> list[int]:
-        """Return the amounts in steps back from now, the current one first."""
-        current = int(now / STEP_S)
-        steps = math.ceil(kept_s / STEP_S)
-        for step in [old for old in self._amounts if old < current - steps]:
-            del self._amounts[step]
-        return [self._amounts.get(current - index, 0) for index in range(steps + 1)]
+    def back(self, now: float, period_s: float) -> list[int]:
+        """Return the counts of the last buckets, the current one first."""
+        current_bucket = int(now / STEP_S)
+        count = math.ceil(period_s / STEP_S)
+        for bucket in [old for old in self._amounts if old < current_bucket - count]:
+            del self._amounts[bucket]
+        return [self._amounts.get(current_bucket - index, 0) for index in range(count + 1)]
 
 
 class SpendTable:
-    """What was spent of each organisation's limit, here and elsewhere.
+    """Usage of each organisation's quota, by this entry and its peers.
 
     Args:
         peers: The other entries.
-        tolerance: How far limits may be exceeded.
-        started: Steady time of the start, in seconds.
-        has_past: Whether the system ran before this process started.
+        tolerance: How far quotas may be exceeded.
+        started: Monotonic time at which this process started, in seconds.
+        has_past: Whether the system was running before this process started.
     """
 
     def __init__(
@@ -166,20 +167,20 @@
         return self.tolerance.window_s
 
     def own(self, now: float) -> dict[str, list[int]]:
-        """Return this entry's spending, in steps of time back from now."""
-        found = {name: row.back(now, self._span) for name, row in self._own.items()}
-        trimmed = {name: _trimmed(amounts) for name, amounts in found.items()}
+        """Return this entry's usage by organisation, in buckets back from now."""
+        usage = {name: buckets.back(now, self._span) for name, buckets in self._own.items()}
+        trimmed = {name: _trimmed(amounts) for name, amounts in usage.items()}
         return {name: amounts for name, amounts in trimmed.items() if amounts}
 
     def tell(self, now: float) -> dict[str, list[int]]:
-        """Return this entry's spending for a digest that goes to all others now."""
+        """Return this entry's usage for a digest to all peers; remember it as reported."""
         self._told = dict(self._since_start)
         return self.own(now)
 
     def fleet(self, now: float) -> dict[str, int] | None:
-        """Return the spending of all entries in the window, up to a step old.
+        """Return the usage of all entries in the window, at most one bucket old.
 
-        It is for those that have started lately; where there are none it is left out.
+        It serves peers that started recently; ``None`` if there are none.
         """
         if not self._peers.has_young:
             return None
@@ -195,20 +196,20 @@
         return names
 
     def keep_ended(self, rows: Iterable[PeerRow]) -> None:
-        """Go on counting what incarnations spent that have ended."""
+        """Keep counting the usage of incarnations that have ended."""
         self._ended.extend(rows)
 
     def spent(self, name: str, now: float) -> float:
-        """Return the tokens that all entries spent in the window."""
+        """Return the number of tokens that all entries used in the window."""
         return max(float(sum(self._steps(name, now))), self._remembered(name, now))
 
     def _steps(self, name: str, now: float, *, fresh_only: bool = False) -> list[int]:
-        """Return what all entries spent, in steps back from now.
+        """Return the usage by all entries, in buckets back from now.
 
         Args:
             name: The organisation.
-            now: Steady time, in seconds.
-            fresh_only: Whether to count only this entry and peers that are heard.
+            now: Monotonic time, in seconds.
+            fresh_only: Whether to count only this entry and reachable peers.
         """
         self._ended = [row for row in self._ended if now - row.heard <= self._span]
         own = self._own.get(name)
@@ -219,106 +220,106 @@
             _add_told(total, row, name, now)
         return total
 
-    def _untold(self, steps: list[int], now: float) -> int:
-        """Return what peers that are heard may have spent since they told.
+    def _untold(self, buckets: list[int], now: float) -> int:
+        """Estimate what reachable peers may have used since their last digests.
 
-        The busiest step of the window is taken for the pace, since all entries let in and
+        Takes the busiest bucket of the window as the rate, since all entries admit and
         refuse at the same moments.
         """
-        fresh = self._peers.fresh(now)
-        age_s = sum(now - row.heard for row in fresh) / (len(fresh) + 1)
-        return round(max(steps) / STEP_S * age_s)
+        reachable = self._peers.fresh(now)
+        age_s = sum(now - row.heard for row in reachable) / (len(reachable) + 1)
+        return round(max(buckets) / STEP_S * age_s)
 
     def _unheard(self, name: str, now: float) -> int:
-        """Return what others may have spent unheard, where all memory was lost.
+        """Estimate what peers may have used unreported, after all entries lost their state.
 
         Entries that start together have callers of the same organisation waiting, and each
-        sees the whole rest of its limit. Each of the others is taken to have spent as much
-        as this one, since its last digest or, where it is known by name only, since the
-        start. Cores alone, 29 entries else let in 1.3 times the bound.
+        sees all that remains of the quota. Every peer is assumed to have used as much as
+        this entry, since the peer's last digest or, if none was received yet, since the
+        start. Without this 29 simulated entries admitted 1.3 times the hard limit.
 
-        The busiest step tells no pace then: it holds all who had waited, and 300 entries
-        would let in nothing for 6 of 8 s.
+        The busiest bucket is no measure of the rate in that case: it holds the whole
+        backlog of waiting callers, and 300 entries would admit nothing for 6 of 8 s.
         """
-        own = self._since_start.get(name, 0)
-        untold = max(own - self._told.get(name, 0), 0)
-        return own * self._peers.unheard + untold * len(self._peers.fresh(now))
+        used = self._since_start.get(name, 0)
+        unreported = max(used - self._told.get(name, 0), 0)
+        return used * self._peers.unheard + unreported * len(self._peers.fresh(now))
 
     def is_blind(self, now: float) -> bool:
-        """Return whether others that may have started as well are still to be heard."""
+        """Return whether peers that may have started as well have sent no digest yet."""
         if not self._has_lost(now) or now - self._started >= FIND_S:
             return False
         return self._peers.unheard > 0
 
     def _has_lost(self, now: float) -> bool:
-        """Return whether nobody knows what was spent in the window before the start."""
+        """Return whether no entry knows what was used in the window before the start."""
         if not self._has_past or now - self._started > self._span:
             return False
         return not any(self._remembers(row.digest) for row in self._peers.rows)
 
     def _remembered(self, name: str, now: float) -> float:
-        """Return what older peers remember, while this process is younger than a window."""
+        """Return what older peers report, while this process is younger than a window."""
         if now - self._started > self._span:
             return 0.0
-        told = (self._old_view(row.digest, name) for row in self._peers.rows)
-        return float(max(told, default=0))
+        reported = (self._old_view(row.digest, name) for row in self._peers.rows)
+        return float(max(reported, default=0))
 
     def _old_view(self, digest: Digest, name: str) -> int:
         return (digest.fleet_spent or {}).get(name, 0) if self._remembers(digest) else 0
 
     def _remembers(self, digest: Digest) -> bool:
-        """Return whether a peer has told what was spent in a whole window."""
+        """Return whether a peer has reported the usage of a whole window."""
         return digest.fleet_spent is not None and digest.age_s > self._span
 
     def admit(
         self, organisation: Organisation, tokens: int, now: float, *, tier: int = 0
     ) -> OverLimit | None:
-        """Spend tokens if the limit allows it.
+        """Use tokens if the quota allows it.
 
         Args:
-            organisation: Whose tokens.
-            tokens: How many.
-            now: Steady time, in seconds.
+            organisation: Organisation whose quota is used.
+            tokens: Number of tokens.
+            now: Monotonic time, in seconds.
             tier: The request's tier; 0 is the highest.
 
         Returns:
-            ``None`` if they are spent, else why not.
+            ``None`` if the tokens were used, else the refusal.
         """
         if organisation.rate <= 0:
             return None
-        steps = self._steps(organisation.name, now)
-        unseen = self._unheard(organisation.name, now)
+        buckets = self._steps(organisation.name, now)
+        unreported = self._unheard(organisation.name, now)
         if not self._has_lost(now):
-            unseen = self._untold(steps, now)
-        steps[0] += unseen
-        spent = max(float(sum(steps)), self._remembered(organisation.name, now))
-        part = 1 - LOWER_TIER * min(max(tier, 0), MOST_TIERS - 1)
-        clause = self._refuses(organisation, tokens, spent, steps, now, part=part)
-        if clause is None:
+            unreported = self._untold(buckets, now)
+        buckets[0] += unreported
+        used = max(float(sum(buckets)), self._remembered(organisation.name, now))
+        fraction = 1 - LOWER_TIER * min(max(tier, 0), MOST_TIERS - 1)
+        rule = self._refuses(organisation, tokens, used, buckets, now, part=fraction)
+        if rule is None:
             self._add(organisation.name, tokens, now)
             return None
-        owed = self.tolerance.owed(organisation)
-        wait_s = (spent + tokens - owed * AIM) / organisation.rate
+        quota = self.tolerance.owed(organisation)
+        retry_after_s = (used + tokens - quota * AIM) / organisation.rate
         return OverLimit(
-            clause=clause,
-            wait_s=min(max(wait_s, SOONEST_S), self.tolerance.window_s),
-            spent=round(spent),
+            clause=rule,
+            wait_s=min(max(retry_after_s, SOONEST_S), self.tolerance.window_s),
+            spent=round(used),
             asked=tokens,
-            owed=round(owed),
+            owed=round(quota),
         )
 
-    def refund(self, organisation: Organisation, tokens: int, spent: float) -> None:
-        """Give back what a request did not use, because it was not run.
+    def refund(self, organisation: Organisation, tokens: int, used_at: float) -> None:
+        """Refund the tokens of a request that was not run.
 
         Args:
-            organisation: Whose tokens.
-            tokens: How many.
-            spent: Steady time at which they were spent, in seconds. Given back at a later
-                time they would count against what others spend, once they have left the
-                window themselves: up to 1.03 of the bound (cores alone).
+            organisation: Organisation whose quota was used.
+            tokens: Number of tokens.
+            used_at: Monotonic time at which they were used, in seconds. Refunded at a later
+                time, they would offset other usage once they have left the window
+                themselves: up to 1.03 times the hard limit was admitted in simulations.
         """
         if organisation.rate > 0 and organisation.name in self._own:
-            self._add(organisation.name, -tokens, spent)
+            self._add(organisation.name, -tokens, used_at)
 
     def _add(self, name: str, tokens: int, now: float) -> None:
         self._own.setdefault(name, _Steps()).add(tokens, now)
@@ -328,65 +329,65 @@
         self,
         organisation: Organisation,
         tokens: int,
-        spent: float,
-        steps: list[int],
+        used: float,
+        buckets: list[int],
         now: float,
         *,
         part: float,
     ) -> Clause | None:
-        """Return which part of the limit a request exceeds; ``None`` if it is allowed."""
-        if not self._is_even(organisation, steps):
+        """Return the rule that refuses a request; ``None`` if it is allowed."""
+        if not self._is_even(organisation, buckets):
             return Clause.AT_ONCE
-        most = self.tolerance.most(organisation) * SAFE
-        most = (most - self._unseen_past(organisation, now)) * part
+        hard_limit = self.tolerance.most(organisation) * SAFE
+        hard_limit = (hard_limit - self._unseen_past(organisation, now)) * part
         silent = self._peers.silent(now)
         if silent:
-            apart = self._if_silent_spend_too(organisation, tokens, spent, silent, now)
-            return Clause.SILENT if apart > most else None
-        # The request's own size is left out: large ones would be refused more often.
-        if spent >= self._aim(organisation, self._span) * part:
+            worst_case = self._if_silent_spend_too(organisation, tokens, used, silent, now)
+            return Clause.SILENT if worst_case > hard_limit else None
+        # Ignores the size of the request: large ones would be refused more often.
+        if used >= self._aim(organisation, self._span) * part:
             return Clause.WINDOW
-        return Clause.BOUND if spent + tokens > most else None
+        return Clause.BOUND if used + tokens > hard_limit else None
 
     def _if_silent_spend_too(
         self,
         organisation: Organisation,
         tokens: int,
-        spent: float,
+        used: float,
         silent: list[PeerRow],
         now: float,
     ) -> float:
-        """Return what is spent if silent peers spend as those in reach do."""
+        """Return the usage if silent peers use as much as reachable ones."""
         known = len(self._peers) + 1
         factor = known / (known - len(silent))
         since = min(row.heard for row in silent)
-        lately = self._spent_since(organisation.name, since, now) + tokens
-        return spent - lately + tokens + lately * factor
+        recently = self._spent_since(organisation.name, since, now) + tokens
+        return used - recently + tokens + recently * factor
 
     def _aim(self, organisation: Organisation, seconds: float) -> float:
-        """Return the tokens that are let in within a part of the window."""
-        part = AT_ONCE + (1 - AT_ONCE) * min(seconds / self._span, 1.0)
-        return self.tolerance.owed(organisation) * AIM * part
+        """Return the number of tokens that may be admitted within part of the window."""
+        fraction = AT_ONCE + (1 - AT_ONCE) * min(seconds / self._span, 1.0)
+        return self.tolerance.owed(organisation) * AIM * fraction
 
-    def _is_even(self, organisation: Organisation, steps: list[int]) -> bool:
-        """Return whether each end of the window holds no more than its part."""
+    def _is_even(self, organisation: Organisation, buckets: list[int]) -> bool:
+        """Return whether the usage stays within the burst limit for every recent period."""
         total = 0.0
-        for index, amount in enumerate(steps[:-1]):
+        for index, amount in enumerate(buckets[:-1]):
             total += amount
             if total > self._aim(organisation, (index + 1) * STEP_S):
                 return False
         return True
 
     def _spent_since(self, name: str, since: float, now: float) -> float:
-        """Return what the entries in reach spent since a time."""
-        steps = math.ceil(min(now - since, self._span) / STEP_S) + 1
-        return float(sum(self._steps(name, now, fresh_only=True)[:steps]))
+        """Return what the reachable entries used since a time."""
+        count = math.ceil(min(now - since, self._span) / STEP_S) + 1
+        return float(sum(self._steps(name, now, fresh_only=True)[:count]))
 
     def _unseen_past(self, organisation: Organisation, now: float) -> float:
-        """Return what may have been spent before this process started.
+        """Return what may have been used before this process started.
 
-        After a loss of all entries nobody remembers. The most that can have been spent in
-        what is left of the window is then assumed.
+        If all entries were lost, none knows. The maximum that can have been used in the
+        rest of the window is then assumed.
         """
         if not self._has_lost(now):
             return 0.0
@@ -394,15 +395,15 @@
 
 
 def _trimmed(amounts: list[int]) -> list[int]:
-    """Return amounts without the zeros at their end."""
+    """Return the amounts without trailing zeros."""
     last = max((index for index, amount in enumerate(amounts) if amount), default=-1)
     return amounts[: last + 1]
 
 
 def _add_told(total: list[int], row: PeerRow, name: str, now: float) -> None:
-    """Add what a peer told, moved back by the time that has passed since."""
-    passed = int((now - row.heard) / STEP_S)
+    """Add the usage a peer reported, shifted by the time since it was received."""
+    shift = int((now - row.heard) / STEP_S)
     for index, amount in enumerate(row.digest.spent.get(name, ())):
-        if index + passed >= len(total):
+        if index + shift >= len(total):
             return
-        total[index + passed] += amount
+        total[index + shift] += amount
--- a/tests/direct/dying_engines.py
+++ b/tests/direct/dying_engines.py
@@ -1,4 +1,4 @@
-"""Engines that end as they begin a marked body, and start again, before several entries."""
+"""Engines that crash as they begin a marked body and restart, behind several entries."""
 
 from __future__ import annotations
 
@@ -21,17 +21,18 @@
 
 DEADLY = b"a body that ends whatever runs it"
 BEGIN_S = 0.02
-"""Time from a request's arrival to the end of its engine, in seconds."""
+"""Time from a request's arrival to the crash of its engine, in seconds."""
 
 NEWS_S = 0.25
-"""Time in which entries on one machine hear from each other, in seconds."""
+"""Time within which entries on one machine receive each other's messages, in seconds."""
 
 
 def wait_at_a_full_engine(serve: Callable[[Dialog], None]) -> tuple[Entry, list[Caller]]:
-    """Start an entry with one engine, and callers of whom the last waits for a place.
+    """Start an entry with one engine, and callers of which the last waits for a slot.
 
     Args:
-        serve: What the engine does; three requests have come to it, and one of them runs.
+        serve: What the engine does with a request; three come before the last one, and one
+            of them runs.
     """
     entry = start_entry()
     entry.take_endpoint(published("e-0", EndpointStandIn(serve).address, slots=1))
@@ -44,7 +45,7 @@
 
 
 def suspects_after(entry: Entry, path: str) -> int:
-    """Ask for a sound request, read all of its answer, and count what is suspected then."""
+    """Send a harmless request, read the response, and count the suspected requests."""
     caller = Caller(entry)
     caller.send(path, body=b"sound")
     caller.read_answer()
@@ -53,11 +54,11 @@
 
 
 class DyingFleet:
-    """Entries that hear each other, and engines that are replaced when they end.
+    """Entries that exchange digests, and engines that are replaced when they crash.
 
     Attributes:
-        ended: Ids of the lives that ended, in order.
-        entries: The entries, the first one named by the others as a seed.
+        ended: Ids of the engines that crashed, in order.
+        entries: The entries; the first one is the seed of the others.
     """
 
     def __init__(self, *, entries: int, engines: int) -> None:
@@ -98,7 +99,7 @@
             entry.take_endpoint(published(name, engine.address))
 
     def ask(self, entry: Entry, body: bytes, *, path: str = "/once/a") -> bytes:
-        """Send a request with an id of its own; return the answer."""
+        """Send a request with an id of its own; return the response."""
         caller = Caller(entry)
         caller.send(path, rid=f"r-{next(self._rids)}", body=body)
         answer = caller.read_answer()
--- a/tests/direct/test_crash_reports.py
+++ b/tests/direct/test_crash_reports.py
@@ -1,4 +1,4 @@
-"""Ends of engines that no request is there to see, and requests that wait meanwhile."""
+"""Crashes after the request was abandoned, and copies that wait when a report arrives."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 from .standins import Caller, Dialog, EndpointStandIn, published, start_entry, status_of
 
 SOON_S = 0.3
-"""Time in which an answer comes that waits for nothing, in seconds."""
+"""Time within which a response that waits for nothing arrives, in seconds."""
 
 BODY = b"request1"
 
 
 class Clock:
-    """Time that passes when it is told to."""
+    """A clock that the test sets."""
 
     def __init__(self, now: float) -> None:
         self.now = now
@@ -38,11 +38,13 @@
 
 
 def alone(clock: Clock) -> tuple[CrashReports, EndpointTable]:
-    """Return the reports of an entry that no other one hears, and its endpoints."""
+    """Return the crash reporter of an entry without peers, and its endpoints."""
     endpoints = EndpointTable()
-    crashers = Crashers(clock, lambda _: False)
-    reports = CrashReports(crashers, endpoints, lambda _: None, clock, 1.0, lambda _: None)
-    return reports, endpoints
+    quarantine = Crashers(clock, lambda _: False)
+    reporter = CrashReports(
+        quarantine, endpoints, lambda _: None, clock, 1.0, lambda _: None
+    )
+    return reporter, endpoints
 
 
 def publish(endpoints: EndpointTable, name: str) -> EndpointRow:
@@ -53,12 +55,12 @@
     return row
 
 
-def test_a_caller_that_leaves_before_its_request_ends_an_engine_is_no_excuse() -> None:
-    """Six engines ended under one body whose callers gave it up a moment too early.
+def test_a_crash_after_the_caller_disconnected_is_counted() -> None:
+    """Guards against missing crashes of requests that callers abandon early.
 
-    Callers that are in a hurry leave within half of their objective, 0.2 s and less; the
-    engine goes on, and ends after 0.1 s. Only a connection that broke under a request was
-    taken for the sign of an end, and this entry had closed it: six of six were not counted.
+    Impatient callers disconnect within half of their objective, 0.2 s and less; the engine
+    goes on and crashes after 0.1 s. Only connections broken by the engine were counted, and
+    here the entry had closed them itself: six of six crashes by one body were missed.
     """
     fleet = DyingFleet(entries=1, engines=6)
     (entry,) = fleet.entries
@@ -68,59 +70,62 @@
         eventlet.sleep(BEGIN_S / 4)
         caller.close()
         eventlet.sleep(NEWS_S)
-        # What the platform says of it, after some heartbeats without one.
+        # The platform's report, after some missed heartbeats.
         for name in fleet.ended:
             entry.lose_endpoint(name)
     assert len(fleet.ended) == 2
 
 
 @pytest.mark.parametrize("began", [100.0, 12345.678, 80001.3])
-def test_a_caller_that_leaves_at_once_hides_nothing(began: float) -> None:
-    """Whether two such ends or four barred a request hung on the last digit of the time.
+def test_a_caller_that_disconnects_at_once_hides_no_crash(began: float) -> None:
+    """Guards against rounding that decides whether a crash counts whole or half.
 
-    An end within 5 ms of the send is half a sign. Where the caller had left sooner, 5 ms
-    were added to the time of the send and the same time was taken off again, which leaves
-    a little less than 5 ms for half of all times, 12345.678 s among them.
+    A crash within 5 ms of the send counts half. If the caller had disconnected sooner, 5 ms
+    were added to the time of the send and that time was subtracted again, which leaves a
+    little less than 5 ms for half of all clock values, 12345.678 s among them. Two such
+    crashes or four quarantined a request, depending on the last digit of the time.
     """
     clock = Clock(began)
-    reports, endpoints = alone(clock)
+    reporter, endpoints = alone(clock)
     for number in range(MOST_RUNS):
-        assert not reports.crashers.is_barred(BODY)
+        assert not reporter.crashers.is_barred(BODY)
         clock.now += 1.0
         row = publish(endpoints, f"e-{number}")
-        reports.left(Loss("/once/a", BODY, "", row, clock.now, clock.now + SUDDEN_S / 5))
-        reports.ended(row)
-    assert reports.crashers.is_barred(BODY)
+        reporter.left(Loss("/once/a", BODY, "", row, clock.now, clock.now + SUDDEN_S / 5))
+        reporter.ended(row)
+    assert reporter.crashers.is_barred(BODY)
 
 
-@pytest.mark.parametrize(("alive_s", "is_barred"), [(0.01, True), (2.0, False)])
-def test_an_engine_that_answers_others_may_still_end_under_what_was_left(
-    alive_s: float, is_barred: bool
+@pytest.mark.parametrize(("alive_s", "is_quarantined"), [(0.01, True), (2.0, False)])
+def test_a_response_to_another_caller_does_not_clear_a_request_just_abandoned(
+    alive_s: float, is_quarantined: bool
 ) -> None:
-    """An end was not counted where the caller had left and another one was answered since.
+    """Guards against missing a crash if the engine served another caller in between.
 
-    An engine works on for a moment when a caller has left. What it answers to others in
-    that moment does not say that it is well, but was taken for it: two of two ends 20 ms
-    after the caller had left were not counted. What it answers seconds later does tell.
+    An engine goes on for a moment after a caller has disconnected. A response to another
+    caller in that moment does not show that the engine is healthy, but was taken to: two of
+    two crashes 20 ms after the caller had disconnected were not counted. A response seconds
+    later does show it.
     """
     clock = Clock(100.0)
-    reports, endpoints = alone(clock)
+    reporter, endpoints = alone(clock)
     for number in range(MOST_RUNS):
         clock.now += 1.0
         row = publish(endpoints, f"e-{number}")
-        reports.left(Loss("/once/a", BODY, "", row, clock.now - 0.1, clock.now))
+        reporter.left(Loss("/once/a", BODY, "", row, clock.now - 0.1, clock.now))
         clock.now += alive_s
-        reports.lives(row)
+        reporter.lives(row)
         clock.now += 0.01
-        reports.ended(row)
-    assert reports.crashers.is_barred(BODY) is is_barred
+        reporter.ended(row)
+    assert reporter.crashers.is_barred(BODY) is is_quarantined
 
 
-def test_who_waits_when_the_news_comes_is_refused_at_once() -> None:
-    """A request that was not to be run any more waited for as long as any other.
+def test_a_queued_request_is_refused_at_once_when_a_report_arrives() -> None:
+    """Guards against a quarantined request that waits for a slot as long as any other.
 
-    That it ends engines was looked up when it had a place. Until then it stood among those
-    that wait though its answer was known: 0.38 s here, and up to one and a half objectives.
+    The quarantine was checked only once a slot was granted. Until then the request stayed
+    in the queue though its refusal was certain: 0.38 s here, and up to one and a half
+    objectives.
     """
 
     def busy(dialog: Dialog) -> None:
@@ -138,32 +143,33 @@
     assert time.monotonic() - start < SOON_S
 
 
-def test_a_try_under_way_when_the_news_comes_is_not_sent_to_another_engine() -> None:
-    """Its next engine would be the fourth to end: it neither waits nor comes anew then."""
-    others = DyingFleet(entries=1, engines=3)
+def test_a_request_in_flight_when_a_report_arrives_is_not_retried() -> None:
+    """The next engine would be the fourth to crash: the request is not queued again."""
+    other_fleet = DyingFleet(entries=1, engines=3)
     for _ in range(2):
-        others.ask(others.entries[0], DEADLY, path="/safe/a")
+        other_fleet.ask(other_fleet.entries[0], DEADLY, path="/safe/a")
         eventlet.sleep(NEWS_S)
-    news = others.entries[0].ctx.crashes.crashers.tell_some()
+    reports = other_fleet.entries[0].ctx.crashes.crashers.tell_some()
     fleet = DyingFleet(entries=1, engines=3)
     caller = Caller(fleet.entries[0])
     caller.send("/safe/a", body=DEADLY)
     eventlet.sleep(BEGIN_S / 4)
-    fleet.entries[0].ctx.crashes.take(news)
+    fleet.entries[0].ctx.crashes.take(reports)
     assert status_of(caller.read_answer()) == 502
     assert len(fleet.ended) == 1
 
 
 @pytest.mark.parametrize(("events", "gap_s"), [(10, 0.02), (4, 0.4)])
-def test_a_stream_that_has_made_some_events_is_not_what_ended_its_engine(
+def test_a_stream_that_has_produced_some_events_is_not_suspected(
     events: int, gap_s: float
 ) -> None:
-    """A sound request was refused for a minute after two engines had ended in 0.5 s.
+    """Guards against suspecting streams that had produced events when the engine exited.
 
-    The entries had just started, and its first three tries were all that was known of it.
-    Two were streams that had made 10 and 11 events, 0.2 s after their first one, and any
-    stream below 1 s was suspected. What ends an engine does so before its first event, at
-    nine of nine ends of one body. A slow engine makes few in a second.
+    A harmless request was refused for a minute after two engines had exited within 0.5 s.
+    The entries had just started and knew only its first three attempts. Two of them were
+    streams that had produced 10 and 11 events, 0.2 s after the first one, and all streams
+    younger than 1 s were suspected. A crashing request crashes its engine before the first
+    event, as nine of nine crashes by one body did. A slow engine produces few in a second.
     """
 
     def end_after_some(dialog: Dialog) -> None:
--- a/tests/direct/test_crashing_requests.py
+++ b/tests/direct/test_crashing_requests.py
@@ -1,10 +1,11 @@
-"""One chat ended nine engines in eleven seconds, and another one seven.
+"""Requests that crash engines, at several entries with real connections.
 
-It came again each second with the same path, organisation and body, under a new id and at
-another entry, and ended each engine some 0.1 s after this began to run it. Entries knew a
-request for one try only, so that the tenth try looked to them as sound as the first. At
-each of nine ends a chat of one organisation without an event was under way, and no id was
-lost at more than one engine:
+One chat crashed nine engines in eleven seconds, and another one seven. The client sent it
+again every second with the same path, organisation and body, under a new id and to another
+entry, and it crashed each engine some 0.1 s after the engine began to run it. Entries
+forgot a request after one attempt, so the tenth attempt looked as harmless as the first. At
+each of the nine crashes a chat of one organisation without an event was in flight, and no
+id was lost at more than one engine:
 
      8.839 santander-c-1 6e8df805521895a1 i-4bb5975339 lost
     12.262 santander-c-1 7d509a1649997ec4 i-95b2476af3 lost
@@ -41,21 +42,21 @@
 )
 
 
-def test_a_body_that_ends_its_engines_ends_three_over_all_entries() -> None:
+def test_a_crashing_body_crashes_at_most_three_engines_over_all_entries() -> None:
     fleet = DyingFleet(entries=3, engines=4)
     statuses = []
     for number in range(9):
         answer = fleet.ask(fleet.entries[number % 3], DEADLY)
         statuses.append(status_of(answer))
         eventlet.sleep(NEWS_S)
-    # One less than the three that it may take: the third would serve nobody.
+    # One less than the three that are allowed: a third crash would serve no caller.
     assert len(fleet.ended) == 2
-    # May have run, twice; then never again, which the answer says.
+    # May have run, twice; then it never runs again, and the responses say so.
     assert statuses == [502] * 2 + [503] * 7
     assert status_of(fleet.ask(fleet.entries[0], b"another body")) == 200
 
 
-def test_who_is_not_run_is_told_so_and_others_of_its_path_are_served() -> None:
+def test_a_quarantined_request_is_refused_and_others_on_its_path_are_served() -> None:
     fleet = DyingFleet(entries=2, engines=3)
     for number in range(2):
         fleet.ask(fleet.entries[number], DEADLY)
@@ -67,29 +68,29 @@
         assert status_of(fleet.ask(entry, DEADLY, path="/once/b")) == 502
 
 
-def test_an_entry_that_has_just_started_hears_of_it() -> None:
+def test_an_entry_that_has_just_started_receives_the_reports() -> None:
     fleet = DyingFleet(entries=2, engines=3)
     for _ in range(2):
         fleet.ask(fleet.entries[0], DEADLY)
         eventlet.sleep(NEWS_S)
-    # The news itself has long been told.
+    # The report itself is not sent again any more.
     eventlet.sleep(max(TELL_AGAIN_S))
-    newcomer = fleet.add_entry()
+    new_entry = fleet.add_entry()
     eventlet.sleep(NEWS_S)
-    assert status_of(fleet.ask(newcomer, DEADLY)) == 503
+    assert status_of(fleet.ask(new_entry, DEADLY)) == 503
     assert len(fleet.ended) == 2
 
 
-def test_it_is_not_repeated_within_one_try_either() -> None:
+def test_a_crashing_request_is_not_retried_within_one_attempt_either() -> None:
     fleet = DyingFleet(entries=2, engines=6)
     for number in range(6):
         fleet.ask(fleet.entries[number % 2], DEADLY, path="/safe/a")
         eventlet.sleep(NEWS_S)
-    # The second engine of the first try was the last one.
+    # The second engine of the first attempt was the last one.
     assert len(fleet.ended) == 2
 
 
-def test_one_that_waits_for_a_place_is_refused_when_the_news_comes() -> None:
+def test_a_request_that_waits_for_a_slot_is_refused_when_a_report_arrives() -> None:
     ran: list[str] = []
 
     def busy(dialog: Dialog) -> None:
@@ -113,7 +114,7 @@
     dialog.reset()
 
 
-def test_a_connection_that_breaks_is_no_end_while_somebody_listens() -> None:
+def test_a_broken_connection_is_no_crash_while_the_engine_listens() -> None:
     engine = EndpointStandIn(cut)
     entry = start_entry(engine, EndpointStandIn(cut), EndpointStandIn(cut))
     for number in range(4):
@@ -124,11 +125,11 @@
     assert len(entry.ctx.crashes.crashers) == 0
 
 
-@pytest.mark.parametrize("was_told", [True, False])
-def test_an_engine_that_was_to_leave_does_not_end_under_a_request(was_told: bool) -> None:
+@pytest.mark.parametrize("is_announced", [True, False])
+def test_the_exit_of_a_leaving_engine_is_no_crash(is_announced: bool) -> None:
     def leave(dialog: Dialog) -> None:
-        # What crosses the platform's word that it leaves is cut in the end.
-        if was_told:
+        # A request sent before the platform announced the shutdown is cut off in the end.
+        if is_announced:
             entry.take_endpoint(published("e-0", engine.address, leaving=True))
         entry.lose_endpoint("e-0")
         engine.close()
@@ -139,7 +140,7 @@
     assert suspects_after(entry, "/once/a") == 0
 
 
-def test_a_stream_that_has_run_for_a_while_is_not_what_ended_its_engine() -> None:
+def test_a_stream_that_has_run_for_a_while_is_not_suspected() -> None:
     def end_late(dialog: Dialog) -> None:
         dialog.start_stream()
         for number in range(12):
@@ -152,7 +153,7 @@
     assert suspects_after(start_entry(engine), "/draft/a") == 0
 
 
-def test_on_call_sees_which_request_it_is(caplog: pytest.LogCaptureFixture) -> None:
+def test_the_log_identifies_the_crashing_request(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level("INFO", logger="dockreach")
     fleet = DyingFleet(entries=1, engines=3)
     for _ in range(2):
@@ -169,38 +170,38 @@
 
 @pytest.mark.parametrize("is_back_at_once", [False, True])
 @pytest.mark.parametrize(
-    ("begin_s", "sudden_s", "most"), [(BEGIN_S, SUDDEN_S, 2), (0.0, READ_S, 4)]
+    ("crash_delay_s", "sudden_s", "max_crashes"), [(BEGIN_S, SUDDEN_S, 2), (0.0, READ_S, 4)]
 )
-def test_an_end_is_found_out_where_something_goes_on_to_listen_at_the_address(
+def test_a_crash_is_detected_though_the_address_still_accepts_connections(
     is_back_at_once: bool,
-    begin_s: float,
+    crash_delay_s: float,
     sudden_s: float,
-    most: int,
+    max_crashes: int,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Seventeen engines ended under one body, behind proxies that went on to listen.
-
-    Whether an engine had ended was told by a connection that was refused. A proxy before a
-    dead engine takes connections and closes them, and an engine that is back at once takes
-    them like the old one: at 17 of 17 ends somebody listened, and none was counted. An end
-    at once counts half, since it looks like an engine that was dead before. What is at once
-    for the engine may take this process longer than 5 ms: beside 24 busy processes 1 of
-    191 ends took 8.6 ms, 0.4 ms being usual.
+    """Guards against missing crashes behind proxies that still listen.
+
+    A crash was recognized only by a refused connection. A proxy in front of a dead engine
+    accepts connections and closes them, and an engine that is back at once accepts them
+    like the old one: 17 of 17 crashes by one body were not counted. A crash at once counts
+    half, since it looks like an engine that was dead before. What is at once for the engine
+    may take this process longer than 5 ms: beside 24 busy processes 1 of 191 crashes took
+    8.6 ms, with 0.4 ms being usual.
     """
     monkeypatch.setattr(crashers, "SUDDEN_S", sudden_s)
-    ended: list[str] = []
+    crashed: list[str] = []
 
     def serve(dialog: Dialog) -> None:
         if not dialog.request.endswith(DEADLY):
             dialog.answer(b"fine")
             return
-        eventlet.sleep(begin_s)
-        name = f"e-{len(ended)}"
-        ended.append(name)
+        eventlet.sleep(crash_delay_s)
+        name = f"e-{len(crashed)}"
+        crashed.append(name)
         dialog.reset()
         if not is_back_at_once:
             engines[int(name[2:])].closes_at_once = True
-        # What the platform says of it, some moments later.
+        # The platform reports it a moment later.
         eventlet.spawn_after(0.1, replace_it, name)
 
     def replace_it(name: str) -> None:
@@ -215,10 +216,10 @@
         caller.send("/once/a", rid=f"r-{number}", body=DEADLY)
         caller.read_answer()
         eventlet.sleep(NEWS_S)
-    assert ended == [f"e-{number}" for number in range(most)]
+    assert crashed == [f"e-{number}" for number in range(max_crashes)]
 
 
-def test_an_entry_that_missed_the_news_hears_of_it_by_a_digest() -> None:
+def test_an_entry_that_missed_a_report_receives_it_with_a_digest() -> None:
     fleet = DyingFleet(entries=2, engines=3)
     first, second = fleet.entries
     first.ctx.crashes._send_all = lambda news: None
--- a/tests/direct/test_ended_lives.py
+++ b/tests/direct/test_ended_lives.py
@@ -1,4 +1,4 @@
-"""What happens to requests at an endpoint that starts again under its id."""
+"""What happens to requests at an endpoint that restarts under the same id."""
 
 from __future__ import annotations
 
@@ -52,14 +52,14 @@
     dialog.chunk(b"")
 
 
-def born(endpoint: EndpointStandIn, when: int, name: str = "e-0") -> Published:
-    return replace(published(name, endpoint.address), born=when, sequence=1)
+def born(endpoint: EndpointStandIn, start_time: int, endpoint_id: str = "e-0") -> Published:
+    return replace(published(endpoint_id, endpoint.address), born=start_time, sequence=1)
 
 
 def entry_before(*endpoints: EndpointStandIn) -> Entry:
     entry = start_entry()
-    listed = [born(row, 1000, f"e-{index}") for index, row in enumerate(endpoints)]
-    entry.take_all(listed, 2)
+    records = [born(row, 1000, f"e-{index}") for index, row in enumerate(endpoints)]
+    entry.take_all(records, 2)
     return entry
 
 
@@ -71,8 +71,8 @@
 
 
 @pytest.mark.parametrize("script", [silent, stalled])
-def test_what_cannot_be_resumed_is_told_at_once(script: object) -> None:
-    """A caller was held for 12 s after its engine's end."""
+def test_a_request_that_cannot_be_resumed_fails_at_once(script: object) -> None:
+    """Guards against a caller that waits 12 s after its engine has exited."""
     endpoint = EndpointStandIn(script)  # type: ignore[arg-type]
     entry = entry_before(endpoint)
     caller = ask(entry, "/draft/a")
@@ -84,7 +84,7 @@
     assert len(endpoint.requests) == 1
 
 
-def test_a_stream_that_may_be_resumed_goes_on_elsewhere() -> None:
+def test_a_resumable_stream_continues_at_another_endpoint() -> None:
     first, second = EndpointStandIn(stalled), EndpointStandIn(rest)
     entry = entry_before(first)
     caller = ask(entry, "/brief/a")
@@ -95,7 +95,7 @@
     assert len(first.requests) == 1
 
 
-def test_an_answer_without_a_length_does_not_seem_complete() -> None:
+def test_a_response_without_a_length_does_not_look_complete() -> None:
     endpoint = EndpointStandIn(unframed)
     entry = entry_before(endpoint)
     caller = ask(entry, "/draft/a")
@@ -103,7 +103,7 @@
     assert not caller.read_answer().endswith(b"0\r\n\r\n")
 
 
-def test_what_ran_in_a_life_that_was_taken_off_ends_with_the_next_one() -> None:
+def test_a_request_at_a_removed_incarnation_fails_when_the_next_one_starts() -> None:
     endpoint = EndpointStandIn(silent)
     entry = entry_before(endpoint)
     caller = ask(entry, "/once/a")
@@ -114,7 +114,7 @@
     assert len(endpoint.requests) == 1
 
 
-def test_an_entry_of_an_older_life_ends_nothing() -> None:
+def test_a_record_of_an_older_incarnation_fails_no_request() -> None:
     endpoint = EndpointStandIn(silent)
     entry = entry_before(endpoint)
     caller = ask(entry, "/draft/a")
@@ -127,16 +127,21 @@
 
 
 def drafts_in(region: str, *, owner_in: str = "") -> Revision:
-    """Return a configuration whose drafts are bound to a region."""
+    """Return a configuration in which drafts run only in one region.
+
+    Args:
+        region: Region of the drafts.
+        owner_in: Region to which the organisation is bound; empty for any.
+    """
     route = next(row for row in revision().routes if row.name == "draft")
-    owner = revision().organisations[0]
+    organisation = revision().organisations[0]
     if owner_in:
-        owner = replace(owner, regions=frozenset({owner_in}))
+        organisation = replace(organisation, regions=frozenset({owner_in}))
     return Revision(
         number=2,
         routes=(replace(route, regions=frozenset({region})),),
         services={"work": Service("work", 100)},
-        organisations=(owner,),
+        organisations=(organisation,),
         limits=CallerLimits(),
     )
 
@@ -146,13 +151,13 @@
     regions = {"hall1": "north", "hall2": "south"}
     settings = replace(entry_settings(), regions=regions)
     entry = start_entry(in_force=drafts_in("south"), settings=settings)
-    there = replace(published("e-1", far.address), hall="hall2")
-    entry.take_all([published("e-0", near.address), there], 2)
+    far_endpoint = replace(published("e-1", far.address), hall="hall2")
+    entry.take_all([published("e-0", near.address), far_endpoint], 2)
     assert status_of(ask(entry, "/draft/a").read_answer()) == 200
     assert (len(near.requests), len(far.requests)) == (0, 1)
 
 
-def test_what_no_region_may_run_is_refused_at_once_with_that_reason(
+def test_a_request_that_no_region_may_run_is_refused_with_that_reason(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level("INFO", logger="dockreach")
--- a/tests/direct/test_fingerprint.py
+++ b/tests/direct/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""Two tries of one request have the same fingerprint; two requests have not."""
+"""Two attempts of one request have the same fingerprint; two requests do not."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 )
 
 
-def test_an_id_a_deadline_or_a_time_does_not_make_another_request() -> None:
+def test_id_deadline_and_arrival_time_do_not_change_the_fingerprint() -> None:
     again = replace(REQUEST, rid="r-2", deadline_s=0.5, arrived=9.0)
     assert fingerprint_of(again, "org") == fingerprint_of(REQUEST, "org")
 
@@ -40,17 +40,17 @@
         (replace(REQUEST, target=b"/draft/b?x=1"), "org"),
         (replace(REQUEST, body=b"texts"), "org"),
         (REQUEST, "other"),
-        # The same bytes in a row, divided elsewhere.
+        # The same bytes in sequence, split at another position.
         (replace(REQUEST, target=b"/draft/a?x=1t", body=b"ext"), "org"),
         (replace(REQUEST, target=b"g/draft/a?x=1"), "or"),
     ],
 )
-def test_a_path_a_query_a_body_or_a_caller_does(
+def test_path_query_body_and_organisation_change_the_fingerprint(
     other: InboundRequest, organisation: str
 ) -> None:
     assert fingerprint_of(other, organisation) != fingerprint_of(REQUEST, "org")
 
 
-def test_its_size_does_not_grow_with_the_body() -> None:
+def test_the_fingerprint_has_a_fixed_length() -> None:
     long = replace(REQUEST, body=b"x" * 1_000_000)
     assert len(fingerprint_of(long, "org")) == FINGERPRINT_BYTES
--- a/tests/direct/test_retrying.py
+++ b/tests/direct/test_retrying.py
@@ -1,4 +1,4 @@
-"""The budget for repeats."""
+"""The retry budget of a service."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     assert taken <= POLICY.ratio * requests * entries + POLICY.burst
 
 
-def test_what_left_the_window_does_not_count() -> None:
+def test_retries_that_left_the_window_do_not_count() -> None:
     budget = RetryBudget(POLICY)
     while budget.take("work", 1, 1.0):
         pass
