--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -375,8 +375,8 @@
     Edit(
         "entries that start together share the rest of a limit",
         "direct/spending.py",
-        "        return used * self._peers.unheard + unreported * len(self._peers.fresh(now))\n",
-        "        return 0\n",
+        "used * self._peers.unheard + unreported * len(self._peers.fresh(now))",
+        "0",
     ),
     Edit(
         "tokens that are given back count from when they were spent",
@@ -387,26 +387,26 @@
     Edit(
         "runs at the same time count once",
         "direct/crash_record.py",
-        "            if not found or run.sent >= found[-1].ended:\n",
+        "            if not sequential or run.sent >= sequential[-1].ended:\n",
         "            if True:\n",
     ),
     Edit(
         "after ends at a moment one copy is run at a time",
         "direct/crashers.py",
-        "        due = self._trial_at(history) if is_quarantined else history.tried + DOUBT_S\n",
-        "        due = self._trial_at(history) if is_quarantined else now\n",
+        "if is_quarantined else history.tried + DOUBT_S",
+        "if is_quarantined else now",
     ),
     Edit(
         "ends of one moment leave room for later ones",
         "direct/crash_record.py",
-        "            return run.life not in self.cleared, run in counted, -run.ended\n",
-        "            return run.life not in self.cleared, True, -run.ended\n",
+        "run in counted, -run.ended",
+        "True, -run.ended",
     ),
     Edit(
         "trials that end engines at once are bounded",
         "direct/crashers.py",
-        "        if len(history.runs(self._ended)) >= self._most_runs + MOST_TRIALS:\n",
-        "        if history.signs(self._ended) >= self._most_runs + MOST_TRIALS:\n",
+        "len(history.runs(self._ended)) >= self._most_runs + MOST_TRIALS",
+        "history.signs(self._ended) >= self._most_runs + MOST_TRIALS",
     ),
     Edit(
         "so many runs after the third end, and no more",
--- a/dockreach/direct/end_record.py
+++ b/dockreach/direct/end_record.py
@@ -71,7 +71,7 @@
         self._ctx.tally.add(key, duration_s / objective_s if objective_s else 0.0)
 
     def _observe_first(self, plan: Call) -> None:
-        """Observe the time from the caller's first attempt to the first event or response."""
+        """Observe the time from the caller's first attempt to the first event."""
         if self._progress.first_at is not None:
             self._ctx.metrics.observe(
                 "dockreach_direct_first_event_seconds",
