--- a/tests/direct/dying_engines.py
+++ b/tests/direct/dying_engines.py
@@ -102,6 +102,6 @@
         """Send a request with an id of its own; return the response."""
         caller = Caller(entry)
         caller.send(path, rid=f"r-{next(self._rids)}", body=body)
-        answer = caller.read_answer()
+        response = caller.read_answer()
         caller.close()
-        return answer
+        return response
--- a/tests/direct/test_crashing_requests.py
+++ b/tests/direct/test_crashing_requests.py
@@ -46,8 +46,8 @@
     fleet = DyingFleet(entries=3, engines=4)
     statuses = []
     for number in range(9):
-        answer = fleet.ask(fleet.entries[number % 3], DEADLY)
-        statuses.append(status_of(answer))
+        response = fleet.ask(fleet.entries[number % 3], DEADLY)
+        statuses.append(status_of(response))
         eventlet.sleep(NEWS_S)
     # One less than the three that are allowed: a third crash would serve no caller.
     assert len(fleet.ended) == 2
@@ -61,8 +61,8 @@
     for number in range(2):
         fleet.ask(fleet.entries[number], DEADLY)
         eventlet.sleep(NEWS_S)
-    answer = fleet.ask(fleet.entries[0], DEADLY)
-    assert float(header_of(answer, b"retry-after") or 0) > 60.0
+    response = fleet.ask(fleet.entries[0], DEADLY)
+    assert float(header_of(response, b"retry-after") or 0) > 60.0
     for entry in fleet.entries:
         assert status_of(fleet.ask(entry, b"another body")) == 200
         assert status_of(fleet.ask(entry, DEADLY, path="/once/b")) == 502
--- a/tests/direct/test_ended_lives.py
+++ b/tests/direct/test_ended_lives.py
@@ -78,9 +78,9 @@
     caller = ask(entry, "/draft/a")
     entry.take_endpoint(born(endpoint, 2000))
     with eventlet.Timeout(0.5):
-        answer = caller.read_answer()
-    assert script is stalled or status_of(answer) == 502
-    assert script is silent or not answer.endswith(b"0\r\n\r\n")
+        response = caller.read_answer()
+    assert script is stalled or status_of(response) == 502
+    assert script is silent or not response.endswith(b"0\r\n\r\n")
     assert len(endpoint.requests) == 1
 
 
@@ -90,8 +90,8 @@
     caller = ask(entry, "/brief/a")
     entry.take_endpoint(born(second, 1000, "e-1"))
     entry.take_endpoint(born(first, 2000))
-    answer = caller.read_answer()
-    assert body_of(answer) == event(1) + event(2)
+    response = caller.read_answer()
+    assert body_of(response) == event(1) + event(2)
     assert len(first.requests) == 1
 
 
