--- a/tests/direct/test_spending.py
+++ b/tests/direct/test_spending.py
@@ -145,14 +145,14 @@
     """
     quotas = table()
     queued = spend_all(quotas, 0.0)
-    used_at: dict[float, int] = {}
+    usage_by_time: dict[float, int] = {}
     for step in range(1, 40):
         now = STEP_S * step
         if now == 2.0:
             quotas.refund(organisation(), queued, 0.0)
-        used_at[now] = spend_all(quotas, now)
+        usage_by_time[now] = spend_all(quotas, now)
     assert queued == 4000
-    assert _most_in_a_window(used_at) <= TOLERANCE.most(organisation())
+    assert _most_in_a_window(usage_by_time) <= TOLERANCE.most(organisation())
 
 
 def test_a_new_entry_relies_on_the_usage_that_older_peers_report() -> None:
@@ -188,11 +188,11 @@
     used_before = {0.5 * step: spend_all(before, 0.5 * step) for step in range(16)}
     last = 7.5
     after = SpendTable(peers(), TOLERANCE, started=last + 0.5, has_past=True)
-    used_at = dict(used_before)
+    usage_by_time = dict(used_before)
     for step in range(17):
         now = last + 0.5 + 0.5 * step
-        used_at[now] = used_at.get(now, 0) + spend_all(after, now)
-    assert _most_in_a_window(used_at) <= TOLERANCE.most(organisation())
+        usage_by_time[now] = usage_by_time.get(now, 0) + spend_all(after, now)
+    assert _most_in_a_window(usage_by_time) <= TOLERANCE.most(organisation())
 
 
 def test_after_state_loss_some_requests_are_admitted_within_seconds() -> None:
@@ -211,12 +211,12 @@
 ) -> None:
     """One entry is cut off from the others, and each uses all that it may."""
     fleet = _Fleet(size)
-    used_at: dict[float, int] = {}
+    usage_by_time: dict[float, int] = {}
     for step in range(34):
         now = STEP_S * step
         fleet.tell(now, together=step <= partitioned_at)
-        used_at[now] = fleet.spend(now, piece)
-    assert _most_in_a_window(used_at) <= TOLERANCE.most(organisation())
+        usage_by_time[now] = fleet.spend(now, piece)
+    assert _most_in_a_window(usage_by_time) <= TOLERANCE.most(organisation())
 
 
 class _Fleet:
@@ -262,10 +262,14 @@
                 table_.receive(reported, now)
 
 
-def _most_in_a_window(used_at: dict[float, int]) -> float:
-    starts = sorted(used_at)
+def _most_in_a_window(usage_by_time: dict[float, int]) -> float:
+    starts = sorted(usage_by_time)
     return max(
-        sum(amount for now, amount in used_at.items() if start <= now < start + WINDOW_S)
+        sum(
+            amount
+            for now, amount in usage_by_time.items()
+            if start <= now < start + WINDOW_S
+        )
         for start in starts
     )
 
