--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -471,8 +471,8 @@
     Edit(
         "an answer that is ended by its endpoint's end is not whole",
         "direct/endpoint_connection.py",
-        "        if self._is_aborted:\n            # An answer",
-        "        if False:\n            # An answer",
+        "        if self._is_aborted:\n            # A response",
+        "        if False:\n            # A response",
     ),
     Edit(
         "requests stay in the regions of their route",
--- a/dockreach/direct/__init__.py
+++ b/dockreach/direct/__init__.py
@@ -1,6 +1,7 @@
-"""The direct path: entries forward to endpoints themselves, with no agent between.
+"""The direct path: entries forward requests to endpoints themselves, without an agent.
 
-`fleet`, `endpoints`, `engine_speed`, `jobs`, `first_tries`, `choosing`, `dispatching`,
-`pressure`, `spending`, `retrying`, `peers` and `outcomes` are the decision core: they do no
-input or output and are given the time. The other modules move bytes.
+`routing_config`, `endpoints`, `engine_speed`, `jobs`, `first_attempts`,
+`endpoint_selection`, `dispatching`, `pressure`, `token_quota`, `retry_budget`, `peers` and
+`outcomes` are the decision core: they perform no input or output, and the time is passed
+to them. The other modules transfer data.
 """
--- a/dockreach/direct/attempt.py
+++ b/dockreach/direct/attempt.py
@@ -1,4 +1,4 @@
-"""How an attempt at one endpoint ended."""
+"""Upstream attempts: where a request was placed, and how the attempt there ended."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 
 
 class Fate(enum.StrEnum):
-    """How one attempt at an endpoint ended."""
+    """How one upstream attempt ended."""
 
     DELIVERED = "delivered"
-    """The caller has the whole answer."""
+    """The caller has the complete response."""
 
     NOT_SENT = "not_sent"
-    """No connection came up."""
+    """No connection could be opened."""
 
     NOT_THERE = "not_there"
-    """Another endpoint has its address, and has not run the request."""
+    """Another endpoint uses the address now; it has not run the request."""
 
     NOT_RUN = "not_run"
-    """The endpoint says that it has not run the request."""
+    """The endpoint reports that it has not run the request."""
 
     FAILED = "failed"
-    """The endpoint ran it and answered with an error."""
+    """The endpoint ran the request and responded with an error."""
 
     LOST = "lost"
-    """No whole answer came; the request may have run."""
+    """No complete response arrived; the request may have run."""
 
 
 NOTHING_RAN = frozenset((Fate.NOT_SENT, Fate.NOT_THERE, Fate.NOT_RUN))
@@ -35,10 +35,10 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt's result.
+    """The result of one upstream attempt.
 
     Attributes:
-        answer: Head and body of an answer that was not passed on.
+        answer: Head and body of a response that was not passed on.
     """
 
     fate: Fate
@@ -49,14 +49,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """Where a request was placed, and what was known when that was decided.
+    """Where a request was placed, and the state on which that was decided.
 
     Attributes:
-        waited_s: Time that it waited for the place, in seconds.
-        own: Requests of this entry under way there, this one included.
-        others: Requests of other entries under way there, as last told.
-        slots: Requests that the endpoint works on at a time.
-        granted_by: IP number of the entry that gave the place; empty if this one did.
+        waited_s: Time that it waited for the slot, in seconds.
+        own: Requests of this entry in flight there, this one included.
+        others: Requests of other entries in flight there, as last reported.
+        slots: Requests that the endpoint runs concurrently.
+        granted_by: IP address of the entry that granted the slot; empty if it was this one.
     """
 
     endpoint: str
@@ -68,4 +68,4 @@
 
 
 NOWHERE = Placement(endpoint="", waited_s=0.0, own=0, others=0, slots=0)
-"""Stands for a request that had no place."""
+"""Stands for a request that got no slot."""
--- a/dockreach/direct/call.py
+++ b/dockreach/direct/call.py
@@ -1,4 +1,4 @@
-"""What the configuration says of one request."""
+"""How one request is to be handled under the current configuration."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """What the configuration says of one request.
+    """How one request is to be handled under the current configuration.
 
     Attributes:
-        organisation: Whose key it carries; ``None`` on a public route.
-        tokens: What it counts against the organisation's limit.
-        ends: Steady time at which the caller or the route gives it up, in seconds.
-        tried_at: Steady time of its caller's first try, in seconds.
-        fingerprint: The same for each try of one request.
-        regions: Where it may be run; ``None`` for anywhere.
+        organisation: The organisation that sent it; ``None`` on a public route.
+        tokens: Tokens charged to the organisation's quota.
+        ends: Monotonic time at which the caller or the route gives up on it, in seconds.
+        tried_at: Monotonic time of its caller's first attempt, in seconds.
+        fingerprint: Identifies the request; the same for all attempts of its caller.
+        regions: Regions in which it may run; ``None`` for all.
     """
 
     route: Route
--- a/dockreach/direct/caller_connection.py
+++ b/dockreach/direct/caller_connection.py
@@ -1,4 +1,4 @@
-"""The server's side of a connection: a caller's requests, and the answers to them."""
+"""The server side of a connection: a caller's requests and the responses to them."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from .http1 import RECV_BYTES, BadRequestError, RawHead, RawRequest, receive, tune
 
 MOST_PIPELINED = 1 << 20
-"""Bytes that a caller may send ahead of an answer."""
+"""Bytes that a caller may pipeline before it has the current response."""
 
 
 class CallerConnection:
-    """The server's side of a connection.
+    """The server side of a connection.
 
     Args:
         sock: The accepted socket.
-        limits: What the caller may send.
+        limits: Size and time limits for the caller's requests.
     """
 
     def __init__(self, sock: Any, limits: CallerLimits) -> None:  # noqa: ANN401
@@ -36,18 +36,19 @@
         self._method = b""
         self.is_idle = True
         self.is_closing = False
-        """Whether the next answer tells the caller that the connection ends."""
+        """Whether the next response announces that the connection will be closed."""
         self.head_sent = False
         tune(sock)
 
     def read_request(self) -> RawRequest | None:
-        """Read a whole request.
+        """Read a complete request.
 
         Returns:
-            The request; ``None`` if the caller closed, or sent nothing for too long.
+            The request; ``None`` if the caller closed the connection, or sent nothing
+            until the idle timeout.
 
         Raises:
-            BadRequestError: What came is no request, or too large or too slow.
+            BadRequestError: The request is malformed, too large or too slow.
         """
         self.is_idle = True
         self.head_sent = False
@@ -108,17 +109,17 @@
         return bool(data)
 
     def _check(self, head: h11.Request) -> None:
-        """Refuse framing that others may read in another way."""
+        """Refuse ambiguous framing, which an intermediary may parse differently."""
         names = [name for name, _ in head.headers]
         if b"transfer-encoding" in names and b"content-length" in names:
-            raise BadRequestError(400, "both a length and chunks")
+            raise BadRequestError(400, "both Content-Length and Transfer-Encoding")
         if names.count(b"host") > 1:
-            raise BadRequestError(400, "more than one host")
+            raise BadRequestError(400, "more than one Host header")
 
     def watch(self) -> None:
-        """Read until the caller closes; keep what it sends ahead.
+        """Read until the caller closes the connection; buffer pipelined data.
 
-        Returns when the caller has closed, or sent too much ahead.
+        Also returns when the caller has pipelined too much.
         """
         while self._ahead < MOST_PIPELINED:
             try:
@@ -130,11 +131,11 @@
             self._keep_ahead(data)
 
     def has_left(self) -> bool:
-        """Return whether the caller has closed already; keep what it sent ahead."""
-        plain = self._sock.fd
+        """Return whether the caller has closed the connection; buffer pipelined data."""
+        raw_sock = self._sock.fd
         while self._ahead < MOST_PIPELINED:
             try:
-                data = plain.recv(RECV_BYTES)
+                data = raw_sock.recv(RECV_BYTES)
             except BlockingIOError:
                 return False
             except OSError:
@@ -149,7 +150,7 @@
         self._http.receive_data(data)
 
     def send_head(self, head: RawHead) -> None:
-        """Send the head of the answer.
+        """Send the head of the response.
 
         Raises:
             CallerGoneError: The caller closed the connection.
@@ -163,7 +164,7 @@
         )
 
     def send_data(self, data: bytes) -> None:
-        """Send a piece of the answer's body.
+        """Send a part of the response's body.
 
         Raises:
             CallerGoneError: The caller closed the connection.
@@ -172,7 +173,7 @@
             self._send(h11.Data(data=data))
 
     def send_whole(self, head: RawHead, body: bytes) -> None:
-        """Send an answer whose body is known.
+        """Send a complete response, with its length.
 
         Raises:
             CallerGoneError: The caller closed the connection.
@@ -183,7 +184,7 @@
         self.end()
 
     def end(self) -> None:
-        """Mark the answer as complete.
+        """Mark the response as complete.
 
         Raises:
             CallerGoneError: The caller closed the connection.
@@ -197,10 +198,10 @@
         try:
             self._sock.sendall(data)
         except OSError as exc:
-            raise CallerGoneError(f"caller closed: {exc}") from exc
+            raise CallerGoneError(f"caller closed its connection: {exc}") from exc
 
     def next_request(self) -> bool:
-        """Make ready for another request; return whether there can be one."""
+        """Prepare for another request; return whether the connection allows one."""
         self._ahead = 0
         done = self._http.our_state is h11.DONE and self._http.their_state is h11.DONE
         if not done or self.is_closing:
@@ -209,7 +210,7 @@
         return True
 
     def abort(self) -> None:
-        """Reset the connection, so that what was sent cannot look complete."""
+        """Reset the connection, so that a partial response cannot look complete."""
         linger = struct.pack("ii", 1, 0)
         try:
             self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
--- a/dockreach/direct/caller_side.py
+++ b/dockreach/direct/caller_side.py
@@ -1,4 +1,4 @@
-"""Where a request's answer goes, as the direct path sees it."""
+"""The interface through which the direct path sends a request's response."""
 
 from __future__ import annotations
 
@@ -8,21 +8,25 @@
 
 
 class CallerSide(Protocol):
-    """Where the answer goes."""
+    """Receives the response to one request.
+
+    Attributes:
+        head_sent: Whether the head was sent, so that it can no longer be replaced.
+    """
 
     head_sent: bool
 
     def send_head(self, head: RawHead) -> None:
-        """Send the head."""
+        """Send the response's head."""
 
     def send_data(self, data: bytes) -> None:
-        """Send a piece of the body."""
+        """Send a part of the response's body."""
 
     def send_whole(self, head: RawHead, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
 
     def end(self) -> None:
-        """Mark the answer as complete."""
+        """Mark the response as complete."""
 
     def abort(self) -> None:
-        """Break the answer off, so that it cannot look complete."""
+        """Abort the response, so that a partial one cannot look complete."""
--- a/dockreach/direct/context.py
+++ b/dockreach/direct/context.py
@@ -1,4 +1,4 @@
-"""What an entry knows and uses, shared by all its requests."""
+"""State of an entry that all its requests share."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class Counters:
-    """Counts of the direct path since the start."""
+    """Counters of the direct path since the start of the process."""
 
     requests: int = 0
     answered: int = 0
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class Context:
-    """What an entry knows and uses, shared by all its requests."""
+    """State of an entry that all its requests share."""
 
     dialect: Dialect
     endpoints: EndpointTable
@@ -51,19 +51,19 @@
     tally: Tally = field(default_factory=Tally)
     first_tries: FirstTries = field(default_factory=FirstTries)
     entries: int = 1
-    """Entries that may be alive, this one included."""
+    """Number of entries that may be running, this one included."""
     regions: Mapping[str, str] = field(default_factory=dict)
     """The region of each data hall."""
 
     def halls_in(self, regions: frozenset[str]) -> frozenset[str]:
-        """Return the data halls that stand in some regions."""
+        """Return the data halls that are in any of some regions."""
         return frozenset(hall for hall, region in self.regions.items() if region in regions)
 
     @staticmethod
     def now() -> float:
-        """Return the steady time, in seconds."""
+        """Return the monotonic time, in seconds."""
         return clock.now()
 
     def take_retry(self, service: str) -> bool:
-        """Take one repeat from the budget; return whether there was one left."""
+        """Take one retry from a service's budget; return whether there was one left."""
         return self.retries.take(service, self.entries, self.now())
--- a/dockreach/direct/dialect.py
+++ b/dockreach/direct/dialect.py
@@ -1,4 +1,4 @@
-"""What the direct path asks of an adapter: how one platform words requests and answers."""
+"""The interface of a platform's adapter: how it encodes requests and responses."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 class Dialect(Protocol):
-    """Translates between a platform's headers and the product's types."""
+    """Translates between a platform's headers and the types of the direct path."""
 
     def read_request(self, raw: RawRequest, arrived: float) -> InboundRequest:
         """Decode a caller's request.
 
         Args:
-            raw: The request as sent.
-            arrived: Steady time at which it was whole, in seconds.
+            raw: The request as received.
+            arrived: Monotonic time at which it was complete, in seconds.
 
         Raises:
-            BadRequestError: A header that is needed is missing or not valid.
+            BadRequestError: A required header is missing or not valid.
         """
 
     def endpoint_headers(
@@ -34,25 +34,25 @@
         left_s: float,
         resume_after: str,
     ) -> list[Header]:
-        """Return the headers of the request to an endpoint.
+        """Return the headers of the request that is sent to an endpoint.
 
         Args:
             req: The caller's request.
-            endpoint: Where it goes.
-            organisation: Whose key it carries; empty on a public route.
-            left_s: Time that is left to answer it, in seconds.
+            endpoint: The endpoint that it is sent to.
+            organisation: Name of the organisation that sent it; empty on a public route.
+            left_s: Time until the request's deadline, in seconds.
             resume_after: Id of the last event that the caller has; empty at the start.
         """
 
     def read_answer(self, raw: RawHead) -> AnswerHead:
-        """Decode the head of an endpoint's answer."""
+        """Decode the head of an endpoint's response."""
 
     def read_revision(self, text: bytes) -> Revision:
-        """Decode a configuration, as the platform published it.
+        """Decode a configuration that the platform published.
 
         Raises:
-            RevisionError: It is not valid.
+            RevisionError: The configuration is not valid.
         """
 
     def refusal(self, refusal: Refusal, rid: str) -> tuple[RawHead, bytes]:
-        """Return head and body of a final answer of the entry's own."""
+        """Return head and body of the response with which the entry refuses a request."""
--- a/dockreach/direct/endpoint_connection.py
+++ b/dockreach/direct/endpoint_connection.py
@@ -1,4 +1,4 @@
-"""The client's side of a connection: requests to an endpoint, and its answers."""
+"""The client side of a connection: requests to an endpoint and its responses."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 from .requests import Header
 
 INLINE_BYTES = 8192
-"""Bodies up to this size are written before the answer is read. Longer ones may fill the
-connection's window, and an endpoint may answer before it has read them."""
+"""Requests up to this size are written before the response is read. Longer ones may fill
+the connection's window, and an endpoint may respond before it has read them."""
 
 ANSWER_HEAD_BYTES = 65536
-"""Largest head of an answer."""
+"""Largest head of a response."""
 
 
 class EndpointConnection:
-    """The client's side of a connection.
+    """The client side of a connection.
 
     Args:
-        address: IP number and port.
-        connect_s: Longest time to wait for the connection, in seconds.
+        address: IP address and port.
+        connect_s: Connect timeout, in seconds.
 
     Raises:
-        ConnectError: It did not come up.
+        ConnectError: The connection could not be opened.
     """
 
     def __init__(self, address: str, connect_s: float) -> None:
@@ -47,24 +47,24 @@
         self._writer: Any = None
         self._is_written = True
         self.is_framed = True
-        """Whether the answer's end is told apart from that of the connection."""
+        """Whether the response's end can be distinguished from that of the connection."""
         self.was_kept = False
-        """Whether an earlier request was answered on it."""
+        """Whether an earlier request on this connection was answered."""
         self._is_aborted = False
 
     def send(
         self, method: bytes, target: bytes, headers: list[Header], body: bytes | None
     ) -> None:
-        """Send a request; a long body goes on being written while the answer is read.
+        """Send a request; a long one is still being written while the response is read.
 
         Args:
             method: The request's method.
             target: Path and query.
-            headers: Headers without those of framing.
+            headers: Headers without those for framing.
             body: The body; ``None`` if the request has none.
 
         Raises:
-            AnswerError: The connection broke. Some of it may have arrived.
+            ResponseError: The connection broke; a part of the request may have arrived.
         """
         if body is not None:
             headers = [*headers, (b"Content-Length", str(len(body)).encode())]
@@ -86,18 +86,18 @@
             self._sock.sendall(data)
             self._is_written = True
         except OSError:
-            # The reader finds the connection broken, or an answer that came early.
+            # The reader finds the broken connection, or a response that was sent early.
             self._is_written = False
 
     def limit_silence(self, seconds: float | None) -> None:
-        """Let reads fail when nothing has come for so long; ``None`` waits for ever."""
+        """Set the read timeout; ``None`` waits forever."""
         self._sock.settimeout(seconds)
 
     def read_head(self) -> RawHead:
-        """Read the head of the next answer.
+        """Read the head of the next response.
 
         Raises:
-            AnswerError: The connection broke, or what came is not HTTP.
+            ResponseError: The connection broke, or the data is not HTTP.
         """
         while True:
             event = self._next_event()
@@ -105,13 +105,13 @@
                 self.is_framed = _is_framed(event, self._request.method)
                 return RawHead(event.status_code, event.reason, event.headers.raw_items())
             if not isinstance(event, h11.InformationalResponse):
-                raise AnswerError(f"{self.address}: closed without an answer")
+                raise AnswerError(f"{self.address}: closed without a response")
 
     def read_data(self) -> bytes | None:
-        """Read a piece of the body; ``None`` at its end.
+        """Read a part of the body; ``None`` at its end.
 
         Raises:
-            AnswerError: The body was cut off.
+            ResponseError: The body was truncated.
         """
         event = self._next_event()
         if isinstance(event, h11.Data):
@@ -119,13 +119,13 @@
         return None
 
     def read_body(self, most_bytes: int) -> bytes:
-        """Read a whole body.
+        """Read a complete body.
 
         Args:
-            most_bytes: Largest body that is kept.
+            most_bytes: Maximum size of the body.
 
         Raises:
-            AnswerError: It was cut off, or is too large.
+            ResponseError: The body was truncated, or is too large.
         """
         parts: list[bytes] = []
         size = 0
@@ -133,14 +133,16 @@
             parts.append(data)
             size += len(data)
             if size > most_bytes:
-                raise AnswerError(f"{self.address}: answer over {most_bytes} bytes")
+                raise AnswerError(f"{self.address}: response over {most_bytes} bytes")
         return b"".join(parts)
 
     def skip_answer(self) -> None:
-        """Read past an answer that belongs to an earlier request.
+        """Skip the body of a late response to an earlier request.
+
+        The HTTP state starts anew as if the current request had just been sent.
 
         Raises:
-            AnswerError: The body was cut off.
+            ResponseError: The body was truncated.
         """
         while self.read_data() is not None:
             pass
@@ -166,21 +168,21 @@
     def _receive(self) -> bytes:
         data = receive(self._sock)
         if self._is_aborted:
-            # An answer without a length would else seem to end here.
-            raise AnswerError(f"{self.address}: the endpoint's life has ended")
+            # A response without a length would otherwise seem to be complete here.
+            raise AnswerError(f"{self.address}: the endpoint's incarnation has ended")
         return data
 
     def abort(self) -> None:
-        """Let whoever reads the answer fail at once; safe from another greenlet."""
+        """Make a read of the response fail at once; safe to call from another greenlet."""
         self._is_aborted = True
         try:
             self._sock.shutdown(socket.SHUT_RDWR)
         except OSError:
-            # It is closed already, and the reader has found out.
+            # The socket is closed already, so the read has failed.
             return
 
     def make_reusable(self) -> bool:
-        """Make ready for another request; return whether that is possible."""
+        """Prepare for another request; return whether the connection can be reused."""
         if self._is_aborted:
             return False
         both_done = (self._http.our_state, self._http.their_state) == (h11.DONE, h11.DONE)
@@ -191,11 +193,11 @@
         return True
 
     def is_quiet(self) -> bool:
-        """Return whether an idle connection is open and nothing has come on it."""
-        plain = self._sock.fd
-        plain.setblocking(False)
+        """Return whether an idle connection is open and has received nothing."""
+        raw_sock = self._sock.fd
+        raw_sock.setblocking(False)
         try:
-            plain.recv(1, socket.MSG_PEEK)
+            raw_sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
             return True
         except OSError:
@@ -203,7 +205,7 @@
         return False
 
     def close(self) -> None:
-        """Close the connection; whatever runs for it at the endpoint is stopped."""
+        """Close the connection, which also stops its request at the endpoint."""
         if self._writer is not None:
             self._writer.kill()
         self._sock.close()
--- a/dockreach/direct/entry.py
+++ b/dockreach/direct/entry.py
@@ -1,4 +1,4 @@
-"""An entry of the direct path: what it knows, from whom, and what it tells others."""
+"""An entry of the direct path: its state, where that comes from, and what it reports."""
 
 from __future__ import annotations
 
@@ -54,27 +54,27 @@
 from .view import View
 
 CONNECT_S = 0.4
-"""Longest wait for a connection to an endpoint, in seconds: a hundred round trips."""
+"""Connect timeout for an endpoint, in seconds: a hundred round trips."""
 
 KNOW_S = 0.4
-"""How long callers that come at the start wait for a configuration, in seconds. Without one
-they are refused and told to come back."""
+"""How long callers that connect during startup wait for a configuration, in seconds. After
+that they are refused with a retry time."""
 
 KNOW_CHECK_S = 0.005
-"""Time between looks at whether a configuration has come, in seconds."""
+"""Interval at which startup checks for a configuration, in seconds."""
 
 ROUND_S = 0.1
-"""Time between rounds that expire what is old, in seconds."""
+"""Interval between maintenance rounds, which expire outdated state, in seconds."""
 
 
 class Entry:
-    """One entry. The adapter calls it with what the platform publishes.
+    """One entry process. The platform's adapter calls it with what the platform publishes.
 
     Args:
-        settings: What it was told.
-        dialect: The platform's wording of requests.
-        choice: How endpoints are chosen.
-        listener: Where callers connect already; opened at the start if it is left out.
+        settings: Settings at the start.
+        dialect: Translates the platform's requests and responses.
+        choice: Policy by which endpoints are selected.
+        listener: Socket to which callers connect already; `start` opens one if omitted.
     """
 
     def __init__(
@@ -166,7 +166,7 @@
         self.callers = CallerServer(self)
 
     def start(self) -> None:
-        """Listen, and follow the other entries."""
+        """Start listening and exchanging state with the other entries."""
         self.gossip.start()
         settings = self.settings
         pages = EntryPages(self)
@@ -185,14 +185,14 @@
         eventlet.spawn(accept_all, listen(address), serve)
 
     def _accept_callers(self, listener: socket.socket) -> None:
-        """Serve callers as soon as it is known how, or else refuse them after a while."""
-        until = self.started + KNOW_S
-        while clock.now() < until and not self._knows_enough:
+        """Accept callers once the entry can serve them, or refuse them after a timeout."""
+        deadline = self.started + KNOW_S
+        while clock.now() < deadline and not self._knows_enough:
             eventlet.sleep(KNOW_CHECK_S)
         accept_all(listener, self.callers.serve)
 
     def apply(self, settings: EntrySettings) -> None:
-        """Put changed settings in force; addresses and names stay until a restart."""
+        """Apply changed settings; addresses and names stay until a restart."""
         self.settings = replace(
             self.settings,
             seeds=settings.seeds,
@@ -210,19 +210,19 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the balancer may send callers here."""
-        known = self.revision is not None and self._has_endpoints
-        return known and self.stopping_since is None
+        """Whether the load balancer may send callers here."""
+        is_configured = self.revision is not None and self._has_endpoints
+        return is_configured and self.stopping_since is None
 
     @property
     def _knows_enough(self) -> bool:
-        """Whether callers that wait at the start are served better now than later."""
+        """Whether callers that wait during startup gain nothing from waiting longer."""
         return self.is_ready and not self.ctx.spending.is_blind(clock.now())
 
-    # What the platform publishes.
+    # State that the platform publishes.
 
     def take_revision(self, revision: Revision, source: str) -> bool:
-        """Put a configuration in force if it is newer; return whether it was."""
+        """Apply a configuration if it is newer; return whether it was applied."""
         if self.revision is not None and revision.number <= self.revision.number:
             return False
         self.revision = revision
@@ -233,27 +233,27 @@
         return True
 
     def take_endpoint(self, published: Published) -> None:
-        """Add an endpoint, or replace what is known of it."""
+        """Add an endpoint, or replace its published state."""
         self._listing.take(published)
 
     def take_emptied(self, halls: frozenset[str], orders_revision: int) -> None:
-        """Give nothing more to the endpoints of some data halls.
+        """Send no more requests to the endpoints of evacuated data halls.
 
         Args:
-            halls: All data halls that the operator wants to be empty.
-            orders_revision: The platform's revision up to which orders were read.
+            halls: All data halls that the operator wants evacuated.
+            orders_revision: The platform's revision up to which commands were read.
         """
         if self.emptied.take(halls, orders_revision, clock.now()):
             self.gossip.changed()
         self.ctx.scheduler.pump()
 
     def lose_endpoint(self, endpoint: str, *, after_outage: bool = False) -> None:
-        """Take an endpoint off: the platform says that it has left.
+        """Remove an endpoint that the platform no longer lists.
 
         Args:
             endpoint: Its id.
-            after_outage: Whether it may only have lapsed while the platform was away; it
-                is then kept until it should be back.
+            after_outage: Whether its registration may only have lapsed during a platform
+                outage; it is then kept for a grace period.
         """
         self._listing.lose(endpoint, after_outage=after_outage)
 
@@ -263,9 +263,9 @@
         """Replace the list of endpoints.
 
         Args:
-            published: All that the platform lists.
+            published: All endpoints that the platform lists.
             fleet_revision: The platform's revision of the list.
-            after_outage: Whether entries of living endpoints may be missing.
+            after_outage: Whether records of running endpoints may be missing.
         """
         self._listing.take_all(published, after_outage=after_outage)
         self.reached(fleet_revision)
@@ -275,13 +275,13 @@
         now = clock.now()
         age_s = self.feeds.endpoints.age_s(now, self.started)
         is_cut_off = age_s > AWAY_PART * self.settings.in_force_s
-        reads = self._readers.is_reader(now)
+        is_reader = self._readers.is_reader(now)
         return Knowledge(
-            revision, self._fleet_revision, is_cut_off, reads, self.emptied.revision
+            revision, self._fleet_revision, is_cut_off, is_reader, self.emptied.revision
         )
 
     def view(self) -> View:
-        """Return all that the platform published, for an entry that it does not serve."""
+        """Return all state that the platform published, for a peer that cannot read it."""
         text = self.revision.text if self.revision else b""
         published = [row.published for row in self.endpoints]
         number = self.revision.number if self.revision else 0
@@ -298,7 +298,7 @@
         )
 
     def _take_view(self, view: View, peer: str) -> None:
-        """Take in what a peer knows, as far as it is newer."""
+        """Apply those parts of a peer's view that are newer than this entry's state."""
         if view.revision > self._knowledge().revision:
             try:
                 self.take_revision(self._dialect.read_revision(view.text), peer)
@@ -313,7 +313,7 @@
                 self.lose_endpoint(endpoint, after_outage=True)
 
     def reached(self, fleet_revision: int) -> None:
-        """Note up to which revision of the platform endpoints were read."""
+        """Record the platform's revision up to which endpoints were read."""
         if fleet_revision > self._fleet_revision:
             self._fleet_revision = fleet_revision
             self.gossip.changed()
@@ -326,7 +326,7 @@
     def _make_digest(self) -> Digest:
         now = clock.now()
         self._number += 1
-        under_way = {row.id: row.own for row in self.endpoints if row.own}
+        in_flight = {row.id: row.own for row in self.endpoints if row.own}
         return Digest(
             name=self.settings.name,
             address=self.settings.gossip,
@@ -336,7 +336,7 @@
             leaving=self.stopping_since is not None,
             revision=self.revision.number if self.revision else 0,
             fleet_revision=self._fleet_revision,
-            under_way=under_way,
+            under_way=in_flight,
             spent=self.ctx.spending.tell(now),
             fleet_spent=self.ctx.spending.fleet(now),
             known=self.peers.told(now - self.started),
@@ -350,16 +350,16 @@
         )
 
     def may_skip_call(self, feed: Feed) -> bool:
-        """Return whether the platform need not be asked now, since other entries read it.
+        """Return whether this entry need not poll the platform now, since its peers do.
 
         Args:
-            feed: The part of what it publishes that would be asked for.
+            feed: The part of the published state that would be polled.
         """
-        knows = self._knowledge()
+        known = self._knowledge()
         if feed is self.feeds.configuration:
-            parts = {CONFIGURATION: knows.revision, EMPTIED: knows.orders_revision}
+            parts = {CONFIGURATION: known.revision, EMPTIED: known.orders_revision}
         else:
-            parts = {ENDPOINTS: knows.fleet_revision}
+            parts = {ENDPOINTS: known.fleet_revision}
         now = clock.now()
         in_force_s = self.settings.in_force_s
         return all(
@@ -372,7 +372,7 @@
 
     @singledispatchmethod
     def _on_message(self, message: Message) -> None:
-        """Take in what another entry told."""
+        """Handle a message from another entry."""
         raise NotImplementedError(type(message))
 
     @_on_message.register
@@ -384,53 +384,53 @@
         self.ctx.scheduler.take_answer(answer)
 
     @_on_message.register
-    def _(self, news: CrashNews) -> None:
-        self.ctx.crashes.take(news.suspects)
+    def _(self, update: CrashNews) -> None:
+        self.ctx.crashes.take(update.suspects)
 
     @_on_message.register
-    def _(self, news: NoticeNews) -> None:
-        self.ctx.notices.take(news.notices, news.name)
+    def _(self, update: NoticeNews) -> None:
+        self.ctx.notices.take(update.notices, update.name)
 
     @_on_message.register
     def _(self, digest: Digest) -> None:
         now = clock.now()
-        heard = self.peers.receive(digest, now)
-        if not heard.is_news:
+        change = self.peers.receive(digest, now)
+        if not change.is_news:
             return
-        before = heard.before
+        previous = change.before
         self.ctx.crashes.take(digest.suspects)
         self.ctx.notices.take(digest.notices, digest.name)
-        if before is None or before.digest.incarnation != digest.incarnation:
+        if previous is None or previous.digest.incarnation != digest.incarnation:
             self._greet(digest.address)
-        if before is None:
+        if previous is None:
             log(Event.PEER_UP, peer=digest.name)
-        elif before.digest.incarnation != digest.incarnation:
-            self.ctx.spending.keep_ended([before])
-        # What a silent peer told does not count, and so is not taken off.
-        counted = before is not None and self.peers.is_fresh(before, now)
-        old = self._counted(before.digest) if before is not None and counted else {}
+        elif previous.digest.incarnation != digest.incarnation:
+            self.ctx.spending.keep_ended([previous])
+        # The requests of a silent peer are not counted, so they are not subtracted either.
+        was_counted = previous is not None and self.peers.is_fresh(previous, now)
+        old = self._counted(previous.digest) if previous is not None and was_counted else {}
         if self.endpoints.change_others(old, self._counted(digest)):
             self.ctx.scheduler.pump()
 
     def _is_trier(self, fingerprint: bytes) -> bool:
-        """Return whether this entry, of all that are heard, tries a barred request."""
+        """Return whether this entry, of all fresh ones, probes a quarantined request."""
         own = self.settings.gossip
-        heard = [row.digest.address for row in self.peers.fresh(clock.now())]
-        names = [f"{row.ip}:{row.port}" for row in (own, *heard)]
+        peers = [row.digest.address for row in self.peers.fresh(clock.now())]
+        names = [f"{row.ip}:{row.port}" for row in (own, *peers)]
         return choose(fingerprint.hex(), names) == names[0]
 
     def _refuse_barred(self, fingerprint: bytes) -> None:
-        """Answer at once what waits of a request that is not to be run any more."""
+        """Refuse at once all waiting copies of a request that was quarantined."""
         self.ctx.scheduler.refuse(fingerprint, BARRED)
 
     def _greet(self, peer: Address) -> None:
-        """Tell an entry that has just started what must not be run."""
-        greeting = self.ctx.crashes.greeting()
-        if greeting is not None:
-            self.gossip.send(greeting, peer)
+        """Report the requests that must not run to an entry that has just started."""
+        report = self.ctx.crashes.greeting()
+        if report is not None:
+            self.gossip.send(report, peer)
 
     def _counted(self, digest: Digest) -> dict[str, int]:
-        """Return what a peer has under way besides the places that it has from here."""
+        """Return a peer's requests in flight, except in slots that this entry granted."""
         return {
             endpoint: count
             for endpoint, count in digest.under_way.items()
@@ -445,7 +445,7 @@
         return row is not None and self.granter.asks_here(peer, row.published.service)
 
     def _count_others(self, now: float) -> None:
-        """Count anew what others have under way: some may have fallen silent."""
+        """Recount the peers' requests in flight, without those of peers now silent."""
         self.endpoints.set_others(self.peers.under_way(now, self._counted))
         self.ctx.entries = len(self.peers) + 1
         self.ctx.scheduler.reconsider()
@@ -453,9 +453,9 @@
     def _round(self) -> None:
         eventlet.sleep(ROUND_S)
         now = clock.now()
-        gone = self.peers.expire(now)
-        self.ctx.spending.keep_ended(gone)
-        for row in gone:
+        expired = self.peers.expire(now)
+        self.ctx.spending.keep_ended(expired)
+        for row in expired:
             log(Event.PEER_DOWN, peer=row.digest.name)
         self._listing.end_lapsed(now)
         self.ctx.notices.expire(now)
@@ -463,10 +463,11 @@
         self._count_others(now)
 
     def stop(self) -> bool:
-        """Take no new callers, and finish what was taken.
+        """Accept no new callers, and finish the requests in flight.
 
         Returns:
-            Whether it is finished; ``False`` at once if another call is at it already.
+            Whether they are finished; ``False`` at once if another call is stopping the
+            entry already.
         """
         if self.stopping_since is not None:
             return False
--- a/dockreach/direct/entry_pages.py
+++ b/dockreach/direct/entry_pages.py
@@ -1,4 +1,4 @@
-"""The pages of an entry: for the balancer, for its peers, and for readers of metrics."""
+"""HTTP pages of an entry: health for the load balancer, view for peers, and metrics."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 from .status_pages import NOT_FOUND, Page
 
 MOST_BARRED_SHOWN = 16
-"""Requests that are not run any more on the metrics page, the latest ones: each is a series
-of its own for whoever keeps the metrics."""
+"""Quarantined requests on the metrics page, the latest ones: each is a time series of its
+own in the metrics store."""
 
 MOST_STATED_SHOWN = 64
-"""Endpoints that say something of themselves on the metrics page, for the same reason."""
+"""Endpoints whose advertised state is on the metrics page, limited for the same reason."""
 
 
 class Shown(Protocol):
-    """An entry, as far as its pages show it."""
+    """The attributes of an entry that its pages show."""
 
     settings: EntrySettings
     started: float
@@ -51,14 +51,14 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the balancer may send callers here."""
+        """Whether the load balancer may send callers here."""
 
     def view(self) -> views.View:
-        """Return all that the platform published."""
+        """Return all state that the platform published."""
 
 
 class EntryPages:
-    """Answers questions for an entry's pages.
+    """Builds an entry's pages.
 
     Args:
         entry: The entry.
@@ -68,12 +68,12 @@
         self._entry = entry
 
     def health(self, target: bytes) -> Page:
-        """Tell the balancer whether callers may come; its path is not looked at."""
+        """Return the health page for the load balancer; any path gets the same."""
         del target
         return RawHead(200 if self._entry.is_ready else 503, b"", []), b""
 
     def view(self, target: bytes) -> Page:
-        """Tell a peer what the platform published."""
+        """Return the view page for peers: all state that the platform published."""
         if target != views.PATH:
             return NOT_FOUND
         return RawHead(200, b"OK", []), views.encode(self._entry.view())
@@ -118,9 +118,9 @@
         yield from self._stated_samples(now)
 
     def _stated_samples(self, now: float) -> Iterator[Sample]:
-        """Return why endpoints get nothing, and what they say of themselves."""
-        held = [self._entry.guard.hold(row, now) for row in self._entry.endpoints]
-        for reason, count in Counter(one.reason for one in held if one).items():
+        """Return why endpoints are blocked, and the state that they advertise."""
+        blocks = [self._entry.guard.hold(row, now) for row in self._entry.endpoints]
+        for reason, count in Counter(block.reason for block in blocks if block).items():
             yield Sample(
                 "dockreach_direct_endpoints_held",
                 "Endpoints that get nothing now, by why",
@@ -155,7 +155,7 @@
                 )
 
     def _barred_samples(self) -> Iterator[Sample]:
-        """Return which requests are not run any more, and where they come from."""
+        """Return which requests are quarantined, and where they come from."""
         for request in self._entry.ctx.crashes.barred()[:MOST_BARRED_SHOWN]:
             yield Sample(
                 "dockreach_direct_request_barred_seconds",
@@ -166,7 +166,7 @@
             )
 
     def _hall_samples(self) -> Iterator[Sample]:
-        """Return since when each data hall is to be empty, and by which revision."""
+        """Return since when each data hall is evacuated, and by which revision."""
         entry = self._entry
         now = clock.now()
         for hall, since in entry.emptied.since.items():
--- a/dockreach/direct/entry_settings.py
+++ b/dockreach/direct/entry_settings.py
@@ -1,4 +1,4 @@
-"""What an adapter tells an entry at its start."""
+"""Settings that an adapter passes to an entry at its start."""
 
 from __future__ import annotations
 
@@ -13,23 +13,25 @@
 
 @dataclass(frozen=True, slots=True)
 class EntrySettings:
-    """What an entry must be told.
+    """Settings of an entry.
 
     Attributes:
         name: Its name in logs and metrics.
-        hall: The data hall it stands in.
-        callers: Where callers connect.
-        health: Where the balancer asks whether it is ready.
-        gossip: Where it listens to other entries, over UDP and TCP.
-        metrics: Where its metrics are read.
-        seeds: Other entries to ask first.
+        hall: The data hall that it runs in.
+        callers: Address that callers connect to.
+        health: Address at which the load balancer checks whether it is ready.
+        gossip: Address at which it listens to other entries, over UDP and TCP.
+        metrics: Address of its metrics page; ``None`` for no such page.
+        seeds: Other entries to contact first.
         has_past: Whether the system ran before this process was started.
-        grace_s: Time between the signal to stop and the end by force, in seconds.
+        grace_s: Time from the signal to stop until the process is killed, in seconds.
         metrics_path: The path of the metrics page.
-        in_force_s: Time in which what the platform publishes must be in force, in seconds.
-        capacity: Part of a processor core that the entry may use.
-        is_coordinated: Whether one entry gives out the places of a service.
-        cold: By how much the rate of a cold endpoint may be exceeded.
+        tolerance: By how much an organisation's quota may be exceeded.
+        retries: The budget for retries.
+        in_force_s: Time in which published changes must be applied, in seconds.
+        capacity: Fraction of a processor core that the entry may use.
+        is_coordinated: Whether one entry, the coordinator, grants the slots of a service.
+        cold: By how much the rate limit of a cold endpoint may be exceeded.
         regions: The region of each data hall.
     """
 
--- a/dockreach/direct/event_stream.py
+++ b/dockreach/direct/event_stream.py
@@ -1,7 +1,7 @@
-"""Splits an event stream into whole events, so that no caller gets a part of one.
+"""Splits an event stream into complete events, so that no caller gets a partial one.
 
-The format is that of server-sent events (WHATWG HTML, section 9.2): fields in lines, and
-a blank line after each event.
+The format is server-sent events (WHATWG HTML, section 9.2): fields in lines, and a blank
+line after each event.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 
 
 class StreamEvent(NamedTuple):
-    """One whole event.
+    """One complete event.
 
     Attributes:
-        data: Its bytes with the blank line.
+        data: Its bytes, including the blank line.
         id: Its id; empty if it has none.
     """
 
@@ -28,25 +28,27 @@
 
 
 class EventSplitter:
-    """Collects bytes and gives back whole events."""
+    """Buffers bytes and returns complete events."""
 
     def __init__(self) -> None:
         self._rest = b""
 
     @property
     def rest(self) -> bytes:
-        """Bytes after the last whole event."""
+        """Bytes after the last complete event."""
         return self._rest
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Take in bytes; return the events that are now whole."""
+        """Add bytes; return the events that are now complete."""
         data = self._rest + data
         events = []
         start = 0
         for match in _END.finditer(data):
-            whole = data[start : match.end()]
+            event = data[start : match.end()]
             start = match.end()
-            found = _ID.search(whole)
-            events.append(StreamEvent(whole, found[1].decode("latin-1") if found else ""))
+            id_line = _ID.search(event)
+            events.append(
+                StreamEvent(event, id_line[1].decode("latin-1") if id_line else "")
+            )
         self._rest = data[start:]
         return events
--- a/dockreach/direct/exchange.py
+++ b/dockreach/direct/exchange.py
@@ -1,4 +1,4 @@
-"""One request from its arrival to its final answer: checks, limits, and what is told."""
+"""One request from its arrival to its final response: checks, limits and accounting."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 
 class Exchange:
-    """One request from its arrival to its final answer.
+    """Handles one request from its arrival to its final response.
 
     Args:
-        ctx: What the entry knows.
-        revision: The configuration in force at the arrival.
+        ctx: State shared by all requests of the entry.
+        revision: The configuration that was current at the arrival.
         req: The request.
-        caller: Where the answer goes.
+        caller: Where the response goes.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         self._call: Call | None = None
 
     def run(self) -> None:
-        """Answer the request.
+        """Handle the request and account for how it ended.
 
         Raises:
             CallerGoneError: The caller closed its connection.
@@ -61,7 +61,7 @@
         self._refuse(refusal)
 
     def _observe(self, ended: str) -> None:
-        """Count the time to the end of the answer, by route and by how it ended."""
+        """Record the time to the end of the response, by route and by how it ended."""
         self._ctx.metrics.observe(
             "dockreach_direct_answer_seconds",
             "Time from a request's arrival to the end of its answer",
@@ -70,7 +70,7 @@
         )
 
     def _answer(self) -> Refusal | None:
-        """Answer the request; return a refusal where there is no answer."""
+        """Send the response to the caller; return a refusal if there is none."""
         req = self._req
         route = self._revision.match(req.host, req.path)
         if route is None:
@@ -94,25 +94,25 @@
         if admission is Admission.DOUBTED:
             return DOUBTED
         refusal = self._over_limit(call)
-        # A refusal is falsy, so that it never passes for an answer.
+        # A refusal is falsy, so that it is never mistaken for a response.
         if refusal is not None:
             return refusal
         return self._forward(call, is_trial=admission is Admission.TRIAL)
 
     def _declared(self, route: Route, organisation: Organisation | None) -> Call:
-        """Return what the configuration says of the request."""
+        """Return how the request is to be handled under the configuration."""
         req = self._req
-        ends = req.arrived + route.timeout_s
+        deadline = req.arrived + route.timeout_s
         if req.deadline_s is not None:
-            ends = min(ends, req.arrived + req.deadline_s)
-        tried_s = self._ctx.first_tries.tried_s(route.name, req.deadline_s)
+            deadline = min(deadline, req.arrived + req.deadline_s)
+        since_first_attempt_s = self._ctx.first_tries.tried_s(route.name, req.deadline_s)
         return Call(
             route=route,
             service=route.service_for(self._req.rid),
             organisation=organisation,
             tokens=self._tokens(organisation),
-            ends=ends,
-            tried_at=req.arrived - tried_s,
+            ends=deadline,
+            tried_at=req.arrived - since_first_attempt_s,
             fingerprint=fingerprint_of(req, organisation.name if organisation else ""),
             regions=_regions(route, organisation),
         )
@@ -123,20 +123,22 @@
         return organisation.plain_tokens if organisation else 0
 
     def _over_limit(self, call: Call) -> Refusal | None:
-        """Spend the request's tokens; return a refusal if they are not to be had."""
+        """Charge the request's tokens; return a refusal if its quota is exceeded."""
         if call.organisation is None:
             return None
-        over = self._ctx.spending.admit(
+        exceeded = self._ctx.spending.admit(
             call.organisation, call.tokens, self._ctx.now(), tier=call.route.tier
         )
-        if over is None:
+        if exceeded is None:
             return None
-        return Refusal(Verdict.NOT_RUN, Reason.LIMIT, str(over), retry_after_s=over.wait_s)
+        return Refusal(
+            Verdict.NOT_RUN, Reason.LIMIT, str(exceeded), retry_after_s=exceeded.wait_s
+        )
 
     def _forward(self, call: Call, *, is_trial: bool) -> Refusal | None:
         organisation = call.organisation
-        spent = self._ctx.now()
-        forward = Forward(
+        charged_at = self._ctx.now()
+        forwarder = Forward(
             self._ctx,
             self._job(call),
             self._req,
@@ -146,19 +148,19 @@
             is_trial=is_trial,
             most_idle=self._most_idle(call.service),
         )
-        self._forwarded = forward
+        self._forwarded = forwarder
         try:
-            return forward.run()
+            return forwarder.run()
         finally:
-            if not forward.may_have_run and organisation is not None:
-                self._ctx.spending.refund(organisation, call.tokens, spent)
+            if not forwarder.may_have_run and organisation is not None:
+                self._ctx.spending.refund(organisation, call.tokens, charged_at)
 
     def _job(self, call: Call) -> Job:
         req = self._req
         route = call.route
         own_tier = call.organisation.tier if call.organisation else None
         tier = route.tier if own_tier is None else own_tier
-        left_s = call.ends - req.arrived
+        time_left_s = call.ends - req.arrived
         return Job(
             rid=req.rid,
             route=route,
@@ -168,7 +170,7 @@
             events=self._likely_events(call.service),
             prefix=req.prefix,
             arrived=req.arrived,
-            give_up=req.arrived + patience_s(route, left_s),
+            give_up=req.arrived + patience_s(route, time_left_s),
             ends=call.ends,
             tried_at=call.tried_at,
             halls=None if call.regions is None else self._ctx.halls_in(call.regions),
@@ -176,20 +178,20 @@
         )
 
     def _most_idle(self, service: str) -> int:
-        """Return how many idle connections may be kept to an endpoint of a service."""
+        """Return the maximum number of idle connections to an endpoint of a service."""
         declared = self._revision.services.get(service)
         if declared is None:
             return 1
         return idle_share(declared.max_connections, self._ctx.entries)
 
     def _likely_events(self, service: str) -> float:
-        """Return how many events the answer is likely to have."""
+        """Return the expected number of events in the response."""
         declared = self._revision.services.get(service)
         tokens = self._req.hint_tokens or self._req.most_tokens
         return tokens / (declared.event_tokens if declared else 1.0)
 
     def _judge(self) -> Outcome:
-        """Return how the whole answer served its caller."""
+        """Classify the complete response by how well it served its caller."""
         if self._call is None or self._forwarded is None:
             return Outcome.FAILED
         return judge_answer(self._call.route, self._forwarded.progress, self._call.tried_at)
@@ -216,10 +218,10 @@
 
 
 def _regions(route: Route, organisation: Organisation | None) -> frozenset[str] | None:
-    """Return where a request may be run; ``None`` for anywhere.
+    """Return the regions in which a request may run; ``None`` for all.
 
-    Where the route and the organisation both name regions, both bind.
+    If both the route and the organisation restrict the regions, both restrictions apply.
     """
-    named = [route.regions, organisation.regions if organisation else frozenset()]
-    binding = [regions for regions in named if regions]
-    return frozenset.intersection(*binding) if binding else None
+    allowed = [route.regions, organisation.regions if organisation else frozenset()]
+    restrictions = [regions for regions in allowed if regions]
+    return frozenset.intersection(*restrictions) if restrictions else None
--- a/dockreach/direct/forward.py
+++ b/dockreach/direct/forward.py
@@ -1,4 +1,4 @@
-"""Sends one request to endpoints, one after the other, until one has answered it."""
+"""Forwards one request to endpoints, one after another, until one has responded to it."""
 
 from __future__ import annotations
 
@@ -28,57 +28,58 @@
 from .requests import AnswerHead, InboundRequest, Standing
 
 BUFFER_BYTES = 1 << 20
-"""Answers up to this size are read whole before they are passed on, so that one that is
-cut off can be asked for again."""
+"""Responses up to this size are buffered whole before they are passed on, so that the
+request can be retried if one is truncated."""
 
 FIRST_SILENCE = 2.5
-"""Objectives without a first event after which a stream that may be resumed is tried at
-another endpoint. Callers give up after four."""
+"""Read timeout for the first event, in objectives, after which a resumable stream is tried
+at another endpoint. Callers give up after four objectives."""
 
 GAP_SILENCE = 3.0
-"""Gap objectives without an event after which a stream that may be resumed is resumed at
-another endpoint."""
+"""Read timeout between events, in gap objectives, after which a resumable stream is resumed
+at another endpoint."""
 
 PLAIN_SILENCE = 2.0
-"""Objectives without an answer after which a repeatable request is tried elsewhere."""
+"""Read timeout for a plain response, in objectives, after which a request that may be
+retried is sent to another endpoint."""
 
 MOST_CONNECTS = 4
-"""Endpoints that are tried for a connection before a request is refused."""
+"""Failed connection attempts after which a request is refused."""
 
 SERVER_ERRORS = range(500, 600)
 
 TURNED_AWAY = (429, 503)
-"""Statuses with which an endpoint turns away what it could run: it has too much to do. The
-next one would be turned away too, and an endpoint that does so at once looks empty."""
+"""Statuses with which an overloaded endpoint rejects a request that it could run. It would
+reject the next one too, and an endpoint that rejects at once looks idle."""
 
 LEAST_FAILURE = 400
-"""Lowest status of an answer that does not serve its caller."""
+"""Lowest status that counts as a failed response."""
 
 FALLBACK_RETRY_S = 0.5
-"""Time after which a caller is told to come back where nothing better is known."""
+"""Retry time that a refused caller gets where no better one is known, in seconds."""
 
 
 class _TimeIsUpError(DockreachError):
-    """The caller's deadline, or the route's timeout, has passed."""
+    """The caller's deadline or the route's timeout has passed."""
 
 
 class _SilentError(DockreachError):
-    """An endpoint sent nothing for too long; the request may be tried elsewhere."""
+    """An endpoint sent nothing within the read timeout; the request may be retried."""
 
 
 class Forward:
-    """The attempts of one request.
+    """Makes the upstream attempts of one request.
 
     Args:
-        ctx: What the entry knows.
-        job: The request as it waits for places; its route and its end are the request's.
+        ctx: State shared by all requests of the entry.
+        job: The request as the scheduler queues it, with its route and its deadline.
         req: The request.
-        caller: Where the answer goes.
-        organisation: Whose key it carries; empty on a public route.
-        fingerprint: The same for each try of the request.
-        is_trial: Whether it finds out if its engines ended for other reasons; it is sent
-            once then.
-        most_idle: Idle connections that may be kept to one endpoint.
+        caller: Where the response goes.
+        organisation: Name of the organisation that sent it; empty on a public route.
+        fingerprint: Identifies the request; the same for all attempts of its caller.
+        is_trial: Whether it is the half-open probe of a quarantined request, which shows
+            if engines crashed for other reasons; a probe is sent once.
+        most_idle: Maximum number of idle connections to one endpoint.
     """
 
     def __init__(
@@ -114,17 +115,17 @@
         self.may_have_run = False
 
     def run(self) -> Refusal | None:
-        """Answer the request in time.
+        """Forward the request until its deadline.
 
         Returns:
-            ``None`` if the caller has a whole answer, else why not.
+            ``None`` if the caller has a complete response, else the refusal.
 
         Raises:
             CallerGoneError: The caller closed its connection.
         """
-        left_s = max(self._ends - self._ctx.now(), 0.0)
+        time_left_s = max(self._ends - self._ctx.now(), 0.0)
         try:
-            with eventlet.Timeout(left_s, _TimeIsUpError("time is up")):
+            with eventlet.Timeout(time_left_s, _TimeIsUpError("deadline passed")):
                 return self._attempt_all()
         except _TimeIsUpError:
             verdict = Verdict.MAY_HAVE_RUN if self.may_have_run else Verdict.NOT_RUN
@@ -133,37 +134,37 @@
 
     def _attempt_all(self) -> Refusal | None:
         job = self._job
-        connects = 0
+        failed_connects = 0
         while True:
-            found = self._ctx.scheduler.place(job)
-            if isinstance(found, Refusal):
-                return self._final(found)
+            slot = self._ctx.scheduler.place(job)
+            if isinstance(slot, Refusal):
+                return self._final(slot)
             if self._is_barred:
-                # Engines ended under it at other entries while it waited, or under the
-                # try before.
+                # Engines crashed under it at other entries while it waited, or under its
+                # previous attempt.
                 self._ctx.scheduler.release(job)
                 return self._final(BARRED)
-            self.placement = self._note_place(found)
-            had_run = self.may_have_run
+            self.placement = self._note_place(slot)
+            may_have_run_before = self.may_have_run
             try:
-                attempt = self._attempt(found)
+                attempt = self._attempt(slot)
             finally:
                 self._ctx.scheduler.release(job)
             if attempt.fate in NOTHING_RAN:
-                self.may_have_run = had_run
+                self.may_have_run = may_have_run_before
             self.attempts.append(attempt)
-            job.tried.add(found.id)
+            job.tried.add(slot.id)
             if attempt.fate is Fate.DELIVERED:
                 if not self.progress.is_failure:
                     self._ctx.crashes.answered(self._fingerprint)
                 return None
             self._log_attempt(attempt)
             if attempt.fate is Fate.NOT_SENT:
-                connects += 1
-                if connects < MOST_CONNECTS:
+                failed_connects += 1
+                if failed_connects < MOST_CONNECTS:
                     continue
-                no_way = Refusal(Verdict.NOT_RUN, Reason.NO_ENDPOINT)
-                return self._final(no_way._replace(retry_after_s=FALLBACK_RETRY_S))
+                refusal = Refusal(Verdict.NOT_RUN, Reason.NO_ENDPOINT)
+                return self._final(refusal._replace(retry_after_s=FALLBACK_RETRY_S))
             if not self._may_go_on(attempt):
                 return self._final(self._verdict_on(attempt))
 
@@ -179,7 +180,7 @@
 
     def _may_go_on(self, attempt: Attempt) -> bool:
         """Return whether the request may be sent to another endpoint."""
-        # One that was gone before the request came is none of those that it was sent to.
+        # A misdirected attempt is not counted: its endpoint was gone before it was sent.
         self._sent += attempt.fate is not Fate.NOT_THERE
         if attempt.answer is not None:
             self._last_answer = attempt.answer
@@ -205,7 +206,7 @@
         )
 
     def _final(self, refusal: Refusal) -> Refusal | None:
-        """Pass on an endpoint's own failure where there is one, else refuse."""
+        """Pass on the last error response of an endpoint if there is one, else refuse."""
         if self._last_answer is None or self._caller.head_sent:
             if self.may_have_run and refusal.verdict is Verdict.NOT_RUN:
                 return Refusal(Verdict.MAY_HAVE_RUN, Reason.ENGINE_LOST)
@@ -215,43 +216,43 @@
         return None
 
     def _attempt(self, row: EndpointRow) -> Attempt:
-        """Send the request to one endpoint and pass on its answer if it is one."""
-        rested_s = None if self._has_another_attempt else RESTED_S
+        """Send the request to one endpoint and pass on its response if it is usable."""
+        max_idle_s = None if self._has_another_attempt else RESTED_S
         try:
-            conn = self._ctx.pool.get(row.published.address, most_rested_s=rested_s)
+            conn = self._ctx.pool.get(row.published.address, most_rested_s=max_idle_s)
         except ConnectError as exc:
             row.lose_reach(self._ctx.now())
             return Attempt(Fate.NOT_SENT, row.id, str(exc))
-        kept_s: float | None = 0.0
-        sent = self._ctx.now()
+        keep_alive_s: float | None = 0.0
+        sent_at = self._ctx.now()
         self._began = None
         self._events = 0
         row.conns.add(conn)
         try:
-            answer = self._send(conn, row, sent)
-            attempt = self._pass_on(conn, row, answer, sent)
-            kept_s = answer.kept_s
+            head = self._send(conn, row, sent_at)
+            attempt = self._pass_on(conn, row, head, sent_at)
+            keep_alive_s = head.kept_s
         except (AnswerError, _SilentError) as exc:
             row.failed(self._ctx.now())
-            self._suspect(row, sent, is_cut=isinstance(exc, AnswerError))
+            self._suspect(row, sent_at, is_cut=isinstance(exc, AnswerError))
             if conn.was_kept and isinstance(exc, _SilentError):
-                # Connections fall silent together, as when a device between loses its
-                # state: without this each would cost one more request.
+                # Idle connections stall together, for example when a middlebox loses its
+                # state: without this, each of them would cost one more request.
                 self._ctx.pool.drop_all()
             return Attempt(Fate.LOST, row.id, str(exc))
         except (CallerGoneError, _TimeIsUpError):
-            self._suspect(row, sent, is_cut=False)
+            self._suspect(row, sent_at, is_cut=False)
             raise
         finally:
             row.conns.discard(conn)
-            self._ctx.pool.put(conn, kept_s, self._most_idle)
+            self._ctx.pool.put(conn, keep_alive_s, self._most_idle)
         return attempt
 
     def _send(self, conn: EndpointConnection, row: EndpointRow, now: float) -> AnswerHead:
-        """Send the request and read the head of its answer.
+        """Send the request and read the head of its response.
 
         Raises:
-            AnswerError: The connection broke, or the answer is of another request.
+            ResponseError: The connection broke, or the response has no request id.
         """
         req = self._req
         headers = self._ctx.dialect.endpoint_headers(
@@ -267,20 +268,20 @@
             return self._own_head(conn, row, now)
 
     def _own_head(
-        self, conn: EndpointConnection, row: EndpointRow, sent: float
+        self, conn: EndpointConnection, row: EndpointRow, sent_at: float
     ) -> AnswerHead:
         while True:
             head = self._ctx.dialect.read_answer(conn.read_head())
-            # When the request of a late answer was sent is not known.
+            # For a late response to another request, the send time is not known.
             is_own = head.rid in (self._req.rid, "")
-            asked = sent if is_own else -math.inf
-            self._ctx.notices.hear(row, head.notice, asked=asked, rid=head.rid)
+            request_sent_at = sent_at if is_own else -math.inf
+            self._ctx.notices.hear(row, head.notice, asked=request_sent_at, rid=head.rid)
             if head.rid == self._req.rid:
                 return head
             if not head.rid and head.standing is not Standing.RAN:
                 return head
             if not head.rid:
-                raise AnswerError(f"{conn.address}: answer without an id")
+                raise AnswerError(f"{conn.address}: response without a request id")
             self._ctx.counters.late_answers += 1
             conn.skip_answer()
 
@@ -290,33 +291,37 @@
             return False
         return self._ctx.crashes.crashers.is_barred(self._fingerprint)
 
-    def _suspect(self, row: EndpointRow, sent: float, *, is_cut: bool) -> None:
-        """Let it be found out whether the engine ends under the attempt under way.
+    def _suspect(self, row: EndpointRow, sent_at: float, *, is_cut: bool) -> None:
+        """Have it checked whether the engine crashed under the current attempt.
+
+        A stream that has run for a while without harm is not reported.
 
         Args:
-            row: The engine.
-            sent: Steady time at which the request was sent to it, in seconds.
-            is_cut: Whether the engine's connection broke.
+            row: The engine's endpoint.
+            sent_at: Monotonic time at which the request was sent to it, in seconds.
+            is_cut: Whether the connection to the engine broke.
         """
         now = self._ctx.now()
         ran_s = now - self._began if self._began is not None else 0.0
         if self._events >= SOUND_EVENTS or ran_s >= SOUND_RUN_S:
             return
         crashes = self._ctx.crashes
-        loss = Loss(self._req.path, self._fingerprint, self._organisation, row, sent, now)
+        unanswered = Loss(
+            self._req.path, self._fingerprint, self._organisation, row, sent_at, now
+        )
         if is_cut:
-            crashes.lost(loss)
+            crashes.lost(unanswered)
         else:
-            crashes.left(loss)
+            crashes.left(unanswered)
 
     @property
     def _has_another_attempt(self) -> bool:
-        """Whether the request may be sent again if the attempt under way fails."""
+        """Whether the request may be sent again if the current attempt fails."""
         route = self._route
         return route.repeat is not Repeat.NEVER and self._sent + 1 < route.max_attempts
 
     def _first_limit_s(self) -> float | None:
-        """Return how long to wait for an answer's head, in seconds."""
+        """Return the read timeout for a response's head, in seconds."""
         route = self._route
         if not self._has_another_attempt:
             return None
@@ -334,24 +339,24 @@
         if limit_s is None:
             yield
             return
-        with eventlet.Timeout(limit_s, _SilentError(f"silent for {limit_s:.1f} s")):
+        with eventlet.Timeout(limit_s, _SilentError(f"no data for {limit_s:.1f} s")):
             yield
 
     def _pass_on(
-        self, conn: EndpointConnection, row: EndpointRow, head: AnswerHead, sent: float
+        self, conn: EndpointConnection, row: EndpointRow, head: AnswerHead, sent_at: float
     ) -> Attempt:
         if head.standing is Standing.OTHER_ENDPOINT:
             conn.read_body(BUFFER_BYTES)
             row.lose_address(self._ctx.now())
-            return Attempt(Fate.NOT_THERE, row.id, "another endpoint has the address")
+            return Attempt(Fate.NOT_THERE, row.id, "another endpoint uses the address")
         if head.standing is Standing.NOT_RUN:
             conn.read_body(BUFFER_BYTES)
             if head.status in TURNED_AWAY:
                 row.failed(self._ctx.now())
-            return Attempt(Fate.NOT_RUN, row.id, f"endpoint refused: {head.status}")
+            return Attempt(Fate.NOT_RUN, row.id, f"endpoint refused: status {head.status}")
         raw = RawHead(head.status, head.reason, end_to_end(head.headers))
         if self._is_event_stream(head):
-            return self._pass_stream(conn, row, raw, sent)
+            return self._pass_stream(conn, row, raw, sent_at)
         body = conn.read_body(BUFFER_BYTES)
         self._note_success(row, self._ctx.now())
         if head.status in SERVER_ERRORS:
@@ -359,7 +364,7 @@
         if self._caller.head_sent:
             return Attempt(Fate.FAILED, row.id, f"status {head.status} on resuming")
         now = self._ctx.now()
-        row.measure(SampleKind.PLAIN, now - sent)
+        row.measure(SampleKind.PLAIN, now - sent_at)
         self.progress.count(0, now)
         self.progress.is_failure = head.status >= LEAST_FAILURE
         self._caller.send_whole(raw, body)
@@ -371,39 +376,39 @@
         return head.status == 200 and any(CONTENT_TYPE in value for value in types)
 
     def _pass_stream(
-        self, conn: EndpointConnection, row: EndpointRow, head: RawHead, sent: float
+        self, conn: EndpointConnection, row: EndpointRow, head: RawHead, sent_at: float
     ) -> Attempt:
-        """Pass a stream's events on as they come.
+        """Pass on a stream's events as they arrive.
 
         Raises:
-            AnswerError: The stream was cut off.
+            ResponseError: The stream was truncated.
         """
         splitter = EventSplitter()
         pace = Pace(row)
-        limit_s = self._first_limit_s()
+        timeout_s = self._first_limit_s()
         while True:
-            with self._silence(limit_s):
+            with self._silence(timeout_s):
                 data = conn.read_data()
             if data is None:
                 break
-            found = splitter.feed(data)
-            if not found:
+            events = splitter.feed(data)
+            if not events:
                 continue
             now = self._ctx.now()
             if self._began is None:
                 self._began = now
                 self._note_success(row, now)
-                self._end_reading(row, sent, now)
-                limit_s = self._gap_limit_s()
-            pace.count(len(found), now)
-            self._events += len(found)
-            self.progress.count(len(found), now)
+                self._end_reading(row, sent_at, now)
+                timeout_s = self._gap_limit_s()
+            pace.count(len(events), now)
+            self._events += len(events)
+            self.progress.count(len(events), now)
             self._start_stream(head)
-            for event in found:
+            for event in events:
                 self._last_event = event.id or self._last_event
-            self._caller.send_data(b"".join(event.data for event in found))
+            self._caller.send_data(b"".join(event.data for event in events))
         if splitter.rest and not conn.is_framed:
-            raise AnswerError(f"{conn.address}: closed within an event")
+            raise AnswerError(f"{conn.address}: connection closed within an event")
         self._start_stream(head)
         self._caller.send_data(splitter.rest)
         self._caller.end()
@@ -418,12 +423,12 @@
         if not self._caller.head_sent:
             self._caller.send_head(head)
 
-    def _end_reading(self, row: EndpointRow, sent: float, now: float) -> None:
-        """Take in the time to a first event."""
+    def _end_reading(self, row: EndpointRow, sent_at: float, now: float) -> None:
+        """Record the end of the prefill and the time to the first event."""
         job = self._job
         if job.met_place:
             tokens = job.read_ahead + job.reading
-            row.measure(SampleKind.FIRST, now - sent, tokens)
+            row.measure(SampleKind.FIRST, now - sent_at, tokens)
         self._ctx.scheduler.note_read(job)
         self._keep_prefix(row, now)
 
--- a/dockreach/direct/http1.py
+++ b/dockreach/direct/http1.py
@@ -1,4 +1,7 @@
-"""What both sides of an HTTP/1.1 connection share. h11 parses; nothing is rewritten."""
+"""Parts that both sides of an HTTP/1.1 connection share.
+
+h11 parses the messages; headers and bodies are not rewritten.
+"""
 
 from __future__ import annotations
 
@@ -11,11 +14,11 @@
 from .requests import Header
 
 RECV_BYTES = 65536
-"""Read at once; the streams of the users come in pieces of some 100 bytes."""
+"""Size of one read; the streams of the users arrive in pieces of some 100 bytes."""
 
 USER_TIMEOUT_MS = 3000
-"""Bytes that a peer does not acknowledge for so long end the connection: a VM without
-power says nothing."""
+"""How long sent data may stay unacknowledged before the connection fails, in milliseconds:
+a VM that loses power closes no connections."""
 
 _HOP_BY_HOP = frozenset(
     (
@@ -32,16 +35,16 @@
         b"expect",
     )
 )
-"""Headers that concern one connection (RFC 9110, section 7.6.1), and those of framing,
-which is made anew on each connection."""
+"""Headers for a single connection (RFC 9110, section 7.6.1), and those for framing, which
+is generated anew on each connection."""
 
 
 class BadRequestError(DockreachError):
-    """A caller sent what is no request.
+    """A caller sent a request that is malformed, too large or too slow.
 
     Args:
-        status: The HTTP status that says so.
-        problem: What is wrong.
+        status: The HTTP status of the response.
+        problem: Description for the log.
     """
 
     def __init__(self, status: int, problem: str) -> None:
@@ -50,15 +53,15 @@
 
 
 class ConnectError(DockreachError):
-    """No connection to an endpoint came up; nothing was sent."""
+    """No connection to an endpoint could be opened; nothing was sent."""
 
 
 class AnswerError(DockreachError):
-    """An endpoint's answer was cut off, or is not HTTP."""
+    """An endpoint's response was truncated, or is not HTTP."""
 
 
 class RawRequest(NamedTuple):
-    """A request as it stands on the wire."""
+    """A request as sent on the wire."""
 
     method: bytes
     target: bytes
@@ -68,7 +71,7 @@
 
 
 class RawHead(NamedTuple):
-    """The head of an answer as it stands on the wire."""
+    """The head of a response as sent on the wire."""
 
     status: int
     reason: bytes
@@ -76,7 +79,7 @@
 
 
 def end_to_end(headers: list[Header]) -> list[Header]:
-    """Return the headers that do not concern one connection only."""
+    """Return the headers that are not for a single connection only."""
     dropped = set(_HOP_BY_HOP)
     for name, value in headers:
         if name.lower() == b"connection":
@@ -85,7 +88,7 @@
 
 
 def has_token(headers: list[Header], name: bytes, token: bytes) -> bool:
-    """Return whether a header that is a list of tokens has one of them."""
+    """Return whether a header whose value is a list of tokens contains a token."""
     for key, value in headers:
         if key.lower() == name:
             tokens = (part.strip().lower() for part in value.split(b","))
@@ -95,33 +98,33 @@
 
 
 def receive(sock: Any) -> bytes:  # noqa: ANN401
-    """Read what has come; empty if the peer closed in order.
+    """Read the available data; empty if the peer closed the connection in order.
 
-    eventlet's own `recv` also returns nothing after a reset, so that an answer without a
-    length would look complete when it was cut off.
+    eventlet's own `recv` also returns no data after a reset, so that a truncated response
+    without a length would look complete.
 
     Raises:
         OSError: The connection was reset.
-        TimeoutError: Nothing came within the socket's timeout.
+        TimeoutError: No data arrived within the socket's timeout.
     """
-    plain = sock.fd
+    raw_sock = sock.fd
     while True:
         try:
-            data: bytes = plain.recv(RECV_BYTES)
+            data: bytes = raw_sock.recv(RECV_BYTES)
             return data
         except BlockingIOError:
             _await_data(sock)
 
 
 def _await_data(sock: Any) -> None:  # noqa: ANN401
-    limit_s = sock.gettimeout()
+    timeout_s = sock.gettimeout()
     try:
-        trampoline(sock.fd, read=True, timeout=limit_s, timeout_exc=TimeoutError)
+        trampoline(sock.fd, read=True, timeout=timeout_s, timeout_exc=TimeoutError)
     except TimeoutError as exc:
-        raise TimeoutError(f"silent for {limit_s:.1f} s") from exc
+        raise TimeoutError(f"no data for {timeout_s:.1f} s") from exc
 
 
 def tune(sock: Any) -> None:  # noqa: ANN401
-    """Send small pieces at once, and notice a peer that has lost power."""
+    """Send small pieces without delay, and detect a peer that has lost power."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
--- a/dockreach/direct/listening.py
+++ b/dockreach/direct/listening.py
@@ -1,4 +1,4 @@
-"""Opens listening sockets, without loading the rest of the program."""
+"""Opens listening sockets, without importing the rest of the program."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from .digest import Address
 
 BACKLOG = 1024
-"""Connections that may wait to be accepted: more than callers open while an entry loads."""
+"""Connections that may wait to be accepted: more than callers open during a startup."""
 
 
 def listen(address: Address) -> socket.socket:
     """Return a listening socket.
 
     Raises:
-        OSError: The address cannot be had.
+        OSError: The address is in use or not available.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/dockreach/direct/loops.py
+++ b/dockreach/direct/loops.py
@@ -1,4 +1,4 @@
-"""Loops that run for as long as the process does."""
+"""Background loops that run as long as the process."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from ..events import Event, log
 
 AFTER_FAULT_S = 0.2
-"""Pause after a step that failed, in seconds: a fault that comes at every step is logged
-five times a second at most."""
+"""Pause after a step that failed, in seconds: an error at every step is logged at most five
+times a second."""
 
 
 def run_forever(step: Callable[[], None]) -> None:
-    """Run a step again and again.
+    """Run a step repeatedly.
 
-    A fault of the program costs one step and not the loop. An entry in which one loop has
-    ended would go on to call itself ready, deaf to changes or to its peers.
+    An unexpected error ends one step and not the loop. An entry in which one loop has ended
+    would still report that it is ready, but miss changes or messages from its peers.
     """
     while True:
         try:
--- a/dockreach/direct/pool.py
+++ b/dockreach/direct/pool.py
@@ -1,4 +1,4 @@
-"""Idle connections to endpoints, kept for reuse."""
+"""A pool of idle connections to endpoints."""
 
 from __future__ import annotations
 
@@ -8,30 +8,30 @@
 from .endpoint_connection import EndpointConnection
 
 DEFAULT_KEPT_S = 2.0
-"""How long an idle connection is reused where the endpoint does not say, in seconds."""
+"""Keep-alive time of a connection if the endpoint does not report one, in seconds."""
 
 EARLY_S = 1.0
-"""How long before the endpoint's own limit a connection is not reused any more, in
-seconds: limits are told in whole seconds, and a close may be on its way."""
+"""How long before the end of the endpoint's keep-alive time a connection is no longer
+reused, in seconds: the time is reported in whole seconds, and a close may be in transit."""
 
 MOST_IDLE = 8
-"""Idle connections kept for each endpoint: more than an engine has places."""
+"""Maximum number of idle connections to an endpoint: more than an engine has slots."""
 
 RESTED_S = 0.25
-"""How long a connection may have rested to be used for what cannot be tried again, in
-seconds. One that has fallen silent meanwhile, or is forgotten by the endpoint, takes a
-request with it; a new one that does not come up takes none."""
+"""How long a connection may have been idle to be used for a request that cannot be retried,
+in seconds. If it has stalled meanwhile, or the endpoint has dropped it, the request is
+lost; if a new connection cannot be opened, it is not."""
 
 IDLE_PART = 0.5
-"""Part of an endpoint's connections that all entries together may keep idle."""
+"""Fraction of an endpoint's connections that all entries together may keep idle."""
 
 
 def idle_share(max_connections: int, entries: int) -> int:
     """Return how many idle connections one entry may keep to an endpoint.
 
     Args:
-        max_connections: What the endpoint accepts from all callers together.
-        entries: Entries that may be alive.
+        max_connections: Connections that the endpoint accepts from all clients together.
+        entries: Number of entries that may be running.
     """
     return min(MOST_IDLE, max(1, int(max_connections * IDLE_PART / max(entries, 1))))
 
@@ -43,10 +43,10 @@
 
 
 class ConnectionPool:
-    """Connections by endpoint.
+    """Idle connections, by the endpoint's address.
 
     Args:
-        connect_s: Longest time to wait for a new connection, in seconds.
+        connect_s: Connect timeout of a new connection, in seconds.
     """
 
     def __init__(self, connect_s: float) -> None:
@@ -58,22 +58,22 @@
     def get(
         self, address: str, *, most_rested_s: float | None = None
     ) -> EndpointConnection:
-        """Return a connection, kept or new.
+        """Return a pooled connection, or open a new one.
 
         Args:
-            address: The endpoint's.
-            most_rested_s: Longest time that a kept one may have rested, in seconds.
+            address: IP address and port of the endpoint.
+            most_rested_s: Longest time that a pooled one may have been idle, in seconds.
 
         Raises:
-            ConnectError: A new one did not come up.
+            ConnectError: A new connection could not be opened.
         """
-        kept = self._idle.get(address, [])
+        pooled = self._idle.get(address, [])
         now = clock.now()
-        while kept:
-            if most_rested_s is not None and now - kept[-1].since > most_rested_s:
-                # The last one was used last: the others rested for longer.
+        while pooled:
+            if most_rested_s is not None and now - pooled[-1].since > most_rested_s:
+                # The last one was used last: the others have been idle for longer.
                 break
-            idle = kept.pop()
+            idle = pooled.pop()
             if idle.until > now and idle.conn.is_quiet():
                 self.reused += 1
                 return idle.conn
@@ -84,33 +84,33 @@
     def put(
         self, conn: EndpointConnection, kept_s: float | None, most_idle: int = MOST_IDLE
     ) -> None:
-        """Keep a connection whose answer was read whole; close it if that can't be.
+        """Pool a connection whose response was read completely, or close it.
 
         Args:
             conn: The connection.
-            kept_s: How long the endpoint keeps it, in seconds; ``None`` if not told.
-            most_idle: Idle connections that may be kept to this endpoint.
+            kept_s: Keep-alive time of the endpoint, in seconds; ``None`` if not reported.
+            most_idle: Maximum number of idle connections to this endpoint.
         """
-        for_s = DEFAULT_KEPT_S if kept_s is None else kept_s - EARLY_S
-        kept = self._idle.setdefault(conn.address, [])
-        if for_s <= 0 or len(kept) >= most_idle or not conn.make_reusable():
+        reusable_s = DEFAULT_KEPT_S if kept_s is None else kept_s - EARLY_S
+        pooled = self._idle.setdefault(conn.address, [])
+        if reusable_s <= 0 or len(pooled) >= most_idle or not conn.make_reusable():
             conn.close()
             return
         now = clock.now()
-        kept.append(_Idle(conn, now, now + for_s))
+        pooled.append(_Idle(conn, now, now + reusable_s))
 
     def expire(self) -> None:
-        """Close connections that will not be reused."""
+        """Close idle connections whose keep-alive time is over."""
         now = clock.now()
-        for address, kept in list(self._idle.items()):
-            for idle in [item for item in kept if item.until <= now]:
+        for address, pooled in list(self._idle.items()):
+            for idle in [item for item in pooled if item.until <= now]:
                 idle.conn.close()
-                kept.remove(idle)
-            if not kept:
+                pooled.remove(idle)
+            if not pooled:
                 del self._idle[address]
 
     def drop_all(self) -> None:
-        """Close all idle connections: one was found silent, and others may be."""
+        """Close all idle connections: one has stalled, and so may have others."""
         for address in list(self._idle):
             self.drop(address)
 
--- a/dockreach/direct/requests.py
+++ b/dockreach/direct/requests.py
@@ -1,4 +1,4 @@
-"""A caller's request and an endpoint's answer, free of any wire's names."""
+"""A caller's request and an endpoint's response, independent of a platform's headers."""
 
 from __future__ import annotations
 
@@ -12,20 +12,23 @@
 
 @dataclass(slots=True)
 class InboundRequest:
-    """A whole request of a caller.
+    """A complete request of a caller.
 
     Attributes:
         rid: The caller's id for this attempt; empty if it sent none.
         target: Path and query as they were sent.
-        headers: All headers as sent, in order, with repeats.
-        key: The caller's key; empty if it sent none.
-        deadline_s: How long the caller waits from `arrived`, in seconds.
-        prompt_tokens: Tokens to be read; 0 if not told.
-        most_tokens: Most tokens to be made; 0 if not told.
-        hint_tokens: The caller's guess of the tokens made; 0 if not told. It is right in
-            the median and often far off.
+        headers: All headers as sent, in order, including repeated ones.
+        key: The caller's API key; empty if it sent none.
+        deadline_s: How long the caller waits from `arrived`, in seconds; ``None`` if it
+            sent no deadline.
+        prompt_tokens: Tokens of the prompt; 0 if not given.
+        most_tokens: Upper limit of the generated tokens; 0 if not given.
+        hint_tokens: The caller's estimate of the generated tokens; 0 if not given. It is
+            right in the median and often far off.
+        has_token_counts: Whether the caller sent token counts.
         prefix: Ids and token counts of the prompt's parts, in order.
-        arrived: Steady time at which it was whole, in seconds.
+        last_event_id: Id of the last event that the caller has; empty if it sent none.
+        arrived: Monotonic time at which it was complete, in seconds.
     """
 
     rid: str
@@ -52,17 +55,17 @@
 
 
 class Standing(enum.Enum):
-    """What an answer's head says about the request."""
+    """Whether the endpoint ran the request, according to the response head."""
 
     RAN = "ran"
     NOT_RUN = "not_run"
     OTHER_ENDPOINT = "other_endpoint"
-    """Another endpoint has the address now; the request was not run."""
+    """Another endpoint uses the address now; it has not run the request."""
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What an endpoint says of itself with an answer."""
+    """The load that an endpoint reports in a response."""
 
     running: int
     waiting: int
@@ -71,15 +74,15 @@
 
 @dataclass(slots=True)
 class AnswerHead:
-    """Status and headers of an endpoint's answer.
+    """Status and headers of an endpoint's response.
 
     Attributes:
-        load: What the endpoint says of itself. Not used to choose an endpoint: what the
-            entries tell each other is fresher than what came with an earlier answer.
-        rid: The id of the request that is answered; empty if none is named.
-        kept_s: How long the endpoint keeps the idle connection, in seconds; ``None`` if
-            it does not say.
-        notice: What else the endpoint says of itself.
+        load: Load that the endpoint reports. Not used to select an endpoint: the digests
+            of other entries are fresher than the load in an earlier response.
+        rid: Id of the request that the response belongs to; empty if not given.
+        kept_s: How long the endpoint keeps the idle connection open, in seconds; ``None``
+            if not given.
+        notice: Other status headers of the endpoint.
     """
 
     status: int
--- a/dockreach/direct/serving.py
+++ b/dockreach/direct/serving.py
@@ -1,4 +1,4 @@
-"""Listens to callers, serves their requests one by one, and stops in order."""
+"""Accepts callers' connections, serves their requests in turn, and drains at the stop."""
 
 from __future__ import annotations
 
@@ -21,25 +21,25 @@
 from .http1 import BadRequestError, RawHead, RawRequest
 
 ACCEPT_AGAIN_S = 0.1
-"""Pause after a connection could not be accepted, in seconds."""
+"""Delay before the next accept after a failed one, in seconds."""
 
 CHECK_S = 0.05
-"""Time between looks at whether callers are left while an entry stops, in seconds."""
+"""Interval at which a stopping entry checks for remaining connections, in seconds."""
 
 SOON_S = 0.1
-"""When a caller is told to come back that was refused for want of a configuration or by an
-entry that stops, in seconds: another entry answers, or this one in a moment."""
+"""Retry time for a caller that is refused because the entry has no configuration yet or is
+stopping, in seconds: another entry can serve it, or this one soon."""
 
 NOTICE_S = 2.5
-"""Time after the signal to stop in which callers may still arrive, in seconds: the
-balancer asks each second and takes an entry out after two misses."""
+"""Time after the signal to stop in which new requests are still served, in seconds: the
+load balancer checks each second, and removes an entry after two failed checks."""
 
 END_EARLY_S = 0.7
-"""How long before the end by force the entry ends by itself, in seconds."""
+"""How long before it would be killed the entry exits by itself, in seconds."""
 
 
 class Owner(Protocol):
-    """The entry, as far as serving callers is concerned."""
+    """The attributes of an entry that are needed to serve callers."""
 
     revision: Revision | None
     stopping_since: float | None
@@ -47,11 +47,11 @@
 
 
 def accept_all(listener: socket.socket, serve: Callable[[Any], None]) -> None:
-    """Accept connections for ever; serve each in a greenlet of its own."""
-    green = GreenSocket(listener)
+    """Accept connections forever; serve each in a greenlet of its own."""
+    green_listener = GreenSocket(listener)
     while True:
         try:
-            sock, _ = green.accept()
+            sock, _ = green_listener.accept()
         except OSError as exc:
             log(Event.ACCEPT_FAILED, str(exc))
             eventlet.sleep(ACCEPT_AGAIN_S)
@@ -87,7 +87,7 @@
         except CallerGoneError:
             self._owner.ctx.counters.callers_gone += 1
         except Exception as exc:  # noqa: BLE001
-            # A fault of the program ends one connection and not the entry.
+            # An unexpected error ends one connection and not the entry.
             log(Event.INTERNAL_ERROR, repr(exc), trace=traceback.format_exc())
             conn.abort()
         finally:
@@ -113,30 +113,30 @@
                 return
 
     def _serve_watched(self, conn: CallerConnection, raw: RawRequest) -> None:
-        """Serve a request; stop at once when the caller leaves.
+        """Serve a request; stop at once when the caller closes its connection.
 
         Raises:
-            CallerGoneError: It left.
+            CallerGoneError: The caller closed its connection.
         """
-        # An entry that stood still finds requests whose callers have given them up: none
-        # of them is to reach an endpoint.
+        # After a pause, an entry finds requests whose callers have given up already: none
+        # of them may reach an endpoint.
         if conn.has_left():
             raise CallerGoneError("caller closed its connection before it was served")
         server = eventlet.spawn(self._serve_until_gone, conn, raw)
         watcher = eventlet.spawn(self._watch, conn, server)
         try:
-            gone: CallerGoneError | None = server.wait()
+            disconnect: CallerGoneError | None = server.wait()
         finally:
             watcher.kill()
-        if gone is not None:
-            raise gone
+        if disconnect is not None:
+            raise disconnect
 
     def _serve_until_gone(
         self, conn: CallerConnection, raw: RawRequest
     ) -> CallerGoneError | None:
-        """Serve a request; return the error if its caller left.
+        """Serve a request; return the error if its caller closed the connection.
 
-        eventlet prints an error that ends a greenlet, and callers leave all the time.
+        eventlet prints errors that end a greenlet, and callers disconnect all the time.
         """
         try:
             self._serve_request(conn, raw)
@@ -161,7 +161,7 @@
         Exchange(self._owner.ctx, revision, req, conn).run()
 
     def _is_too_late(self) -> bool:
-        """Return whether what is taken now might not be finished before the end."""
+        """Return whether a request that is accepted now might not end before the exit."""
         since = self._owner.stopping_since
         return since is not None and clock.now() > since + NOTICE_S
 
@@ -173,11 +173,11 @@
         conn.send_whole(RawHead(exc.status, b"Bad Request", []), b"")
 
     def drain(self, since: float, grace_s: float) -> None:
-        """Finish what was taken, then return.
+        """Finish the requests in flight, then return.
 
         Args:
-            since: Steady time at which the stop began, in seconds.
-            grace_s: Time from then to the end by force, in seconds.
+            since: Monotonic time at which the stop began, in seconds.
+            grace_s: Time from then until the process is killed, in seconds.
         """
         for conn in self._connections:
             conn.is_closing = True
@@ -189,14 +189,14 @@
             eventlet.sleep(CHECK_S)
 
     def _close_idle(self) -> None:
-        """Close connections on which no request is under way.
+        """Close connections on which no request is in flight.
 
-        What crosses the close is not read, so that its caller sees a reset and may send
-        it again.
+        A request that arrives during the close is not read, so that its caller sees a reset
+        and may send it again.
         """
         for conn, server in list(self._connections.items()):
             if conn.is_idle:
-                eventlet.kill(server, CallerGoneError("the entry stops"))
+                eventlet.kill(server, CallerGoneError("the entry is stopping"))
 
 
 def _limits(revision: Revision | None) -> CallerLimits:
--- a/dockreach/direct/status_pages.py
+++ b/dockreach/direct/status_pages.py
@@ -1,4 +1,4 @@
-"""Pages for the balancer, for other entries and for whoever reads the metrics."""
+"""Serves HTTP pages to the load balancer, to other entries and to metrics collectors."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 def serve_page(sock: Any, page: Callable[[bytes], Page]) -> None:  # noqa: ANN401
-    """Answer requests on one connection.
+    """Respond to all requests on one connection.
 
     Args:
         sock: The accepted socket.
-        page: Returns the answer to a target.
+        page: Returns the response to a request's target.
     """
     try:
         conn = CallerConnection(sock, CallerLimits())
