--- a/dockreach/direct/exchange.py
+++ b/dockreach/direct/exchange.py
@@ -80,24 +80,24 @@
             return Refusal(Verdict.NOT_RUN, Reason.BAD_KEY)
         if not req.rid:
             return Refusal(Verdict.NOT_RUN, Reason.BAD_REQUEST, "no request id")
-        call = self._declared(route, organisation)
-        self._call = call
-        if call.regions is not None and not self._ctx.halls_in(call.regions):
+        plan = self._declared(route, organisation)
+        self._call = plan
+        if plan.regions is not None and not self._ctx.halls_in(plan.regions):
             return Refusal(Verdict.NOT_RUN, Reason.NO_REGION, "no region may run it")
-        self._ctx.retries.count_request(call.service, self._ctx.now())
-        admission = self._ctx.crashes.crashers.admit(call.fingerprint)
+        self._ctx.retries.count_request(plan.service, self._ctx.now())
+        admission = self._ctx.crashes.crashers.admit(plan.fingerprint)
         if admission is Admission.BARRED:
             self._ctx.crashes.came(
-                call.fingerprint, Source(req.path, call.organisation_name)
+                plan.fingerprint, Source(req.path, plan.organisation_name)
             )
             return BARRED
         if admission is Admission.DOUBTED:
             return DOUBTED
-        refusal = self._over_limit(call)
+        refusal = self._over_limit(plan)
         # A refusal is falsy, so that it is never mistaken for a response.
         if refusal is not None:
             return refusal
-        return self._forward(call, is_trial=admission is Admission.TRIAL)
+        return self._forward(plan, is_trial=admission is Admission.TRIAL)
 
     def _declared(self, route: Route, organisation: Organisation | None) -> Call:
         """Return how the request is to be handled under the configuration."""
--- a/dockreach/direct/forward.py
+++ b/dockreach/direct/forward.py
@@ -136,24 +136,24 @@
         job = self._job
         failed_connects = 0
         while True:
-            slot = self._ctx.scheduler.place(job)
-            if isinstance(slot, Refusal):
-                return self._final(slot)
+            found = self._ctx.scheduler.place(job)
+            if isinstance(found, Refusal):
+                return self._final(found)
             if self._is_barred:
                 # Engines crashed under it at other entries while it waited, or under its
                 # previous attempt.
                 self._ctx.scheduler.release(job)
                 return self._final(BARRED)
-            self.placement = self._note_place(slot)
+            self.placement = self._note_place(found)
             may_have_run_before = self.may_have_run
             try:
-                attempt = self._attempt(slot)
+                attempt = self._attempt(found)
             finally:
                 self._ctx.scheduler.release(job)
             if attempt.fate in NOTHING_RAN:
                 self.may_have_run = may_have_run_before
             self.attempts.append(attempt)
-            job.tried.add(slot.id)
+            job.tried.add(found.id)
             if attempt.fate is Fate.DELIVERED:
                 if not self.progress.is_failure:
                     self._ctx.crashes.answered(self._fingerprint)
@@ -335,11 +335,11 @@
         return max(GAP_SILENCE * route.gap_objective_s, route.objective_s)
 
     @contextmanager
-    def _silence(self, limit_s: float | None) -> Iterator[None]:
-        if limit_s is None:
+    def _silence(self, timeout_s: float | None) -> Iterator[None]:
+        if timeout_s is None:
             yield
             return
-        with eventlet.Timeout(limit_s, _SilentError(f"no data for {limit_s:.1f} s")):
+        with eventlet.Timeout(timeout_s, _SilentError(f"no data for {timeout_s:.1f} s")):
             yield
 
     def _pass_on(
--- a/tests/direct/cores.py
+++ b/tests/direct/cores.py
@@ -1,4 +1,4 @@
-"""Builds digests, jobs and tables for the tests of the decision core."""
+"""Builders of digests, jobs and tables for the tests of the decision core."""
 
 from __future__ import annotations
 
@@ -62,12 +62,12 @@
 
 
 def organisation(*, rate: float = 1000.0, burst: float = 2000.0) -> Organisation:
-    """Return an organisation with a limit: 10,000 tokens in 8 s."""
+    """Return an organisation with a quota: 10,000 tokens in 8 s."""
     return Organisation("assessors", frozenset({"k"}), None, rate, burst, 200)
 
 
 def stream_route(tier: int = 0) -> Route:
-    """Return a route of streams with an objective of 1 s."""
+    """Return a route for streams with an objective of 1 s."""
     return Route(
         name=f"tier-{tier}",
         host="tools.example",
@@ -112,21 +112,21 @@
 
 
 def endpoints(*slots: int) -> EndpointTable:
-    """Return a table of endpoints with so many places each."""
+    """Return a table of endpoints with the given numbers of slots."""
     table = EndpointTable()
-    for number, places in enumerate(slots):
+    for number, count in enumerate(slots):
         address_ = f"10.1.0.{number + 1}:80"
-        table.publish(Published(f"e-{number}", "work", address_, "hall1", places, False))
+        table.publish(Published(f"e-{number}", "work", address_, "hall1", count, False))
     return table
 
 
 def dispatcher(
     table: EndpointTable, choice: Choice = Choice.MEASURED, *, extra: int = 0
 ) -> Dispatcher:
-    """Return a dispatcher that gives endpoints so many requests beyond their places."""
+    """Return a dispatcher that sends endpoints `extra` requests beyond their slots."""
     return Dispatcher(table, Chooser(table, "hall1", choice, extra=extra))
 
 
 def placed(rows: list[Decision]) -> list[str]:
-    """Return the ids of the jobs that got a place, in order."""
+    """Return the ids of the jobs that got a slot, in order."""
     return [row.job.rid for row in rows if isinstance(row, Placed)]
--- a/tests/direct/standins.py
+++ b/tests/direct/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins of endpoints and callers, speaking bytes, for the tests of the direct path."""
+"""Stand-ins for endpoints and callers, over real sockets, for tests of the direct path."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 LOCAL = "127.0.0.1"
 READ_S = 3.0
 SILENCE_S = 60.0
-"""How long a silent connection is held, in seconds: longer than any test."""
+"""How long a stalled connection is kept open, in seconds: longer than any test."""
 
 Script = Callable[["Dialog"], None]
 
 
 class Dialog:
-    """One connection at a stand-in endpoint, and the requests that came on it."""
+    """One connection at a stand-in endpoint, with its latest request."""
 
     def __init__(self, sock: Any) -> None:  # noqa: ANN401
         self.sock = sock
@@ -47,13 +47,13 @@
         self.is_muted = False
 
     def read(self) -> bytes:
-        """Read one request, by its length."""
+        """Read one request, up to its length."""
         data = b""
         while b"\r\n\r\n" not in data:
-            more = self.sock.recv(65536)
-            if not more:
+            received = self.sock.recv(65536)
+            if not received:
                 return b""
-            data += more
+            data += received
         head, _, body = data.partition(b"\r\n\r\n")
         length = int(header_of(head, b"content-length") or 0)
         while len(body) < length:
@@ -67,11 +67,11 @@
         return header_of(self.request, b"request-id") or b""
 
     def send(self, data: bytes) -> None:
-        """Send bytes as they are."""
+        """Send bytes unchanged."""
         self.sock.sendall(data)
 
     def answer(self, body: bytes, status: bytes = b"200 OK", extra: bytes = b"") -> None:
-        """Send a whole answer to the request."""
+        """Send a complete response to the request."""
         length = str(len(body)).encode()
         self.send(
             b"HTTP/1.1 " + status + b"\r\nRequest-Id: " + self.rid + b"\r\nSeal: s\r\n"
@@ -79,7 +79,7 @@
         )
 
     def start_stream(self, extra: bytes = b"") -> None:
-        """Send the head of an event stream in chunks."""
+        """Send the head of a chunked event stream."""
         self.send(
             b"HTTP/1.1 200 OK\r\nRequest-Id: "
             + self.rid
@@ -89,7 +89,7 @@
         )
 
     def chunk(self, data: bytes) -> None:
-        """Send a chunk; an empty one ends the answer."""
+        """Send a chunk; an empty one ends the response."""
         self.send(f"{len(data):x}\r\n".encode() + data + b"\r\n")
 
     def reset(self) -> None:
@@ -97,7 +97,7 @@
         reset(self.sock)
 
     def wait_until_left(self) -> None:
-        """Wait until the other side closes."""
+        """Wait until the peer closes the connection."""
         try:
             self.left = self.sock.recv(1) == b""
         except OSError:
@@ -105,14 +105,14 @@
 
 
 class EndpointStandIn:
-    """Listens and runs a script for each request."""
+    """An endpoint that runs a script for each request; the last script serves the rest."""
 
     def __init__(self, *scripts: Script) -> None:
         self.scripts = list(scripts)
         self.requests: list[bytes] = []
         self.dialogs: list[Dialog] = []
         self.closes_at_once = False
-        """Whether it takes connections and closes them, as a proxy before a dead engine."""
+        """Whether it closes accepted connections, like a proxy before a dead engine."""
         self._listener = listen_locally()
         self.address = address_of(self._listener)
         eventlet.spawn(accept_all, self._listener, self._serve)
@@ -131,16 +131,16 @@
                 self.requests.append(dialog.request)
                 self.scripts[min(number, len(self.scripts) - 1)](dialog)
         except (OSError, EOFError):
-            # The caller left, or this endpoint closed the socket while it waited.
+            # The entry closed the connection, or this endpoint did so while it waited.
             return
 
     def mute(self) -> None:
-        """Let all connections that are open now fall silent; new ones work."""
+        """Stall all connections that are open now; new ones work."""
         for dialog in self.dialogs:
             dialog.is_muted = True
 
     def close(self) -> None:
-        """Stop to listen."""
+        """Stop listening."""
         let_go(self._listener)
         self._listener.close()
 
@@ -172,13 +172,13 @@
 
 
 def let_go(sock: Any) -> None:  # noqa: ANN401
-    """Wake whoever waits on a socket that is closed next; another file gets its number."""
+    """Wake greenlets that wait on a socket before it is closed and its number reused."""
     if sock.fileno() >= 0:
         eventlet.hubs.notify_opened(sock.fileno())
 
 
 def address_of(sock: Any) -> str:  # noqa: ANN401
-    """Return a socket's own address, IP number and port."""
+    """Return a socket's own IP address and port."""
     ip, port = sock.getsockname()
     return f"{ip}:{port}"
 
@@ -186,22 +186,22 @@
 FIRST_PORT = 15000
 PORTS_A_WORKER = 800
 RANGES = 20
-"""Ports below those that the system hands out by itself (32768 and more), so that none is
-taken between its choice and its use. Each process that runs tests has a range of its own,
-also where two test runs go on at once."""
+"""Ports below the system's ephemeral ports (32768 and more), so that none is taken between
+its selection and its use. Each process that runs tests reserves a range of its own, also
+when two test runs overlap."""
 
 
 def _reserve_range() -> tuple[plain_socket.socket, Iterator[int]]:
-    """Return a range of ports, and the socket that keeps others from taking it.
+    """Reserve a range of ports; return its ports and the socket that holds the reservation.
 
     Raises:
-        OSError: All are in use.
+        OSError: All ranges are in use.
     """
     for index in range(RANGES):
         first = FIRST_PORT + index * PORTS_A_WORKER
         sock = plain_socket.socket()
         try:
-            # Nobody listens on the first port: it is kept as the sign of who uses them.
+            # The first port is not used otherwise: being bound, it marks the range as used.
             sock.bind((LOCAL, first))
         except OSError:
             sock.close()
@@ -214,7 +214,7 @@
 
 
 def free_port() -> int:
-    """Return a port that nobody listens on, another one at each call."""
+    """Return an unused port, a different one at each call."""
     for port in _ports:
         with plain_socket.socket() as sock, contextlib.suppress(OSError):
             sock.bind((LOCAL, port))
@@ -264,7 +264,7 @@
     organisations: tuple[Organisation, ...] = (ORGANISATION,),
     limits: CallerLimits | None = None,
 ) -> Revision:
-    """Return a configuration with a route of each kind."""
+    """Return a configuration with one route for each kind of retry and response."""
     return Revision(
         number=number,
         routes=(
@@ -289,7 +289,7 @@
 def entry_settings(
     *, grace_s: float = 4.0, callers_port: int | None = None
 ) -> EntrySettings:
-    """Return settings of an entry on free ports."""
+    """Return settings for an entry on free ports."""
     return EntrySettings(
         name="entry-1",
         hall="hall1",
@@ -311,7 +311,7 @@
     in_force: Revision | None = None,
     settings: EntrySettings | None = None,
 ) -> Entry:
-    """Start an entry in this process, before some endpoints."""
+    """Start an entry in this process that forwards to some endpoints."""
     entry = Entry(settings or entry_settings(), PlatformDialect(), Choice.MEASURED)
     entry.start()
     entry.take_revision(in_force or revision(), "test")
@@ -321,7 +321,7 @@
 
 
 def fill_pool(entry: Entry, endpoint: EndpointStandIn, count: int = 1) -> None:
-    """Let an entry keep idle connections to an endpoint, each used for one request."""
+    """Fill an entry's pool with connections to an endpoint, each used for one request."""
     pool = entry.ctx.pool
     conns = [pool.get(endpoint.address) for _ in range(count)]
     for conn in conns:
@@ -360,25 +360,25 @@
         self.sock.sendall(head.encode() + b"\r\n" + body)
 
     def read_some(self) -> bytes:
-        """Read what has come; empty if the entry closed the connection."""
+        """Read the available data; empty if the entry closed the connection."""
         data: bytes = self.sock.recv(65536)
         return data
 
     def read_all(self) -> bytes:
-        """Read until the connection ends."""
+        """Read until the connection is closed."""
         data = b""
-        while more := self.read_some():
-            data += more
+        while received := self.read_some():
+            data += received
         return data
 
     def read_answer(self) -> bytes:
-        """Read one answer, by its length or its chunks."""
+        """Read one response, up to its length or its last chunk."""
         data = b""
         while not _is_whole(data):
-            more = self.read_some()
-            if not more:
+            received = self.read_some()
+            if not received:
                 return data
-            data += more
+            data += received
         return data
 
     def close(self) -> None:
@@ -387,8 +387,8 @@
 
 
 def _is_whole(data: bytes) -> bool:
-    head, blank, body = data.partition(b"\r\n\r\n")
-    if not blank:
+    head, blank_line, body = data.partition(b"\r\n\r\n")
+    if not blank_line:
         return False
     length = header_of(data, b"content-length")
     if length is not None:
@@ -397,25 +397,25 @@
 
 
 def ask_page(address: Address, path: str) -> bytes:
-    """Return the answer of an entry's page, with its head."""
+    """Return the response of an entry's page, with its head."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.settimeout(READ_S)
     sock.connect((address.ip, address.port))
     sock.sendall(f"GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n".encode())
     data = b""
-    while more := sock.recv(65536):
-        data += more
+    while received := sock.recv(65536):
+        data += received
     return data
 
 
-def status_of(answer: bytes) -> int:
-    """Return an answer's status."""
-    return int(answer.split(b" ", 2)[1])
+def status_of(response: bytes) -> int:
+    """Return a response's status."""
+    return int(response.split(b" ", 2)[1])
 
 
-def body_of(answer: bytes) -> bytes:
-    """Return an answer's body, without chunks."""
-    head, _, body = answer.partition(b"\r\n\r\n")
+def body_of(response: bytes) -> bytes:
+    """Return a response's body, with the chunks joined."""
+    head, _, body = response.partition(b"\r\n\r\n")
     if header_of(head, b"transfer-encoding") != b"chunked":
         return body
     parts = []
--- a/tests/direct/test_entry.py
+++ b/tests/direct/test_entry.py
@@ -1,4 +1,4 @@
-"""An entry's life: readiness, stop, help between peers, what the platform publishes."""
+"""An entry: readiness, stop, views from peers, and state that the platform publishes."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     dialog.answer(b"fine")
 
 
-def test_an_entry_that_knows_no_configuration_is_not_ready_and_says_not_run() -> None:
+def test_an_entry_without_configuration_is_not_ready_and_refuses_requests() -> None:
     entry = Entry(entry_settings(), PlatformDialect())
     entry.start()
     assert status_of(ask_page(entry.settings.health, "/ready")) == 503
@@ -46,7 +46,7 @@
     assert status_of(caller.read_answer()) == 503
 
 
-def test_a_ready_entry_tells_the_balancer_so_and_serves_metrics() -> None:
+def test_a_ready_entry_reports_health_and_serves_metrics() -> None:
     entry = start_entry(EndpointStandIn(ok))
     caller = Caller(entry)
     caller.send("/once/a")
@@ -58,14 +58,14 @@
     assert b"dockreach_direct_answer_seconds_bucket" in page
 
 
-def test_a_view_is_not_served_where_the_balancer_asks() -> None:
+def test_the_health_address_does_not_serve_the_view() -> None:
     entry = start_entry(EndpointStandIn(ok))
     assert b"assessors" not in ask_page(entry.settings.health, "/v1/view")
     assert status_of(ask_page(entry.settings.gossip, "/v1/view")) == 200
     assert status_of(ask_page(entry.settings.gossip, "/other")) == 404
 
 
-def test_a_stop_finishes_what_was_taken_and_closes_idle_connections() -> None:
+def test_a_stop_finishes_requests_in_flight_and_closes_idle_connections() -> None:
     entry = start_entry(EndpointStandIn(slow))
     idle, busy = Caller(entry), Caller(entry)
     busy.send("/once/a")
@@ -73,33 +73,33 @@
     stopping = eventlet.spawn(entry.stop)
     eventlet.sleep(0.05)
     assert status_of(ask_page(entry.settings.health, "/ready")) == 503
-    answer = busy.read_answer()
-    assert status_of(answer) == 200
-    assert header_of(answer, b"connection") == b"close"
+    response = busy.read_answer()
+    assert status_of(response) == 200
+    assert header_of(response, b"connection") == b"close"
     stopping.wait()
     assert idle.read_some() == b""
 
 
-def test_what_arrives_long_after_the_stop_began_is_refused_truly() -> None:
+def test_a_request_long_after_the_stop_began_is_refused_and_not_run() -> None:
     endpoint = EndpointStandIn(ok)
     entry = start_entry(endpoint, settings=entry_settings(grace_s=20.0))
     entry.stopping_since = eventlet.hubs.get_hub().clock() - 5.0
     caller = Caller(entry)
     caller.send("/once/a")
-    answer = caller.read_answer()
-    assert status_of(answer) == 503
-    assert header_of(answer, b"connection") == b"close"
+    response = caller.read_answer()
+    assert status_of(response) == 503
+    assert header_of(response, b"connection") == b"close"
     assert endpoint.requests == []
 
 
-def test_a_configuration_never_goes_back() -> None:
+def test_an_older_configuration_is_not_applied() -> None:
     entry = start_entry(EndpointStandIn(ok), in_force=revision(7))
     assert not entry.take_revision(revision(6), "store")
     assert entry.revision is not None
     assert entry.revision.number == 7
 
 
-def test_a_leaving_endpoint_gets_nothing_more() -> None:
+def test_a_leaving_endpoint_gets_no_more_requests() -> None:
     leaving, staying = EndpointStandIn(ok), EndpointStandIn(ok)
     entry = start_entry(leaving, staying)
     entry.take_endpoint(published("e-0", leaving.address, leaving=True))
@@ -110,7 +110,7 @@
     assert (len(leaving.requests), len(staying.requests)) == (0, 4)
 
 
-def test_an_endpoint_that_lapsed_in_an_outage_is_kept_for_a_while() -> None:
+def test_an_endpoint_that_lapsed_in_an_outage_is_kept_for_a_grace_period() -> None:
     endpoint = EndpointStandIn(ok)
     entry = start_entry(endpoint)
     entry.lose_endpoint("e-0", after_outage=True)
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize("after_outage", [False, True])
-def test_one_that_said_it_leaves_is_not_kept(after_outage: bool) -> None:
+def test_a_leaving_endpoint_is_removed_without_a_grace_period(after_outage: bool) -> None:
     entry = start_entry(EndpointStandIn(ok))
     entry.take_endpoint(published("e-0", "127.0.0.1:9", leaving=True))
     entry.lose_endpoint("e-0", after_outage=after_outage)
@@ -145,25 +145,25 @@
 ).encode()
 
 
-def test_a_peer_helps_an_entry_that_the_platform_does_not_serve() -> None:
+def test_an_entry_that_cannot_read_the_platform_applies_a_peers_view() -> None:
     endpoint = EndpointStandIn(ok)
-    served = start_entry(endpoint, in_force=read_revision(CONFIG))
-    settings = replace(entry_settings(), seeds=(served.settings.gossip,))
-    alone = Entry(settings, PlatformDialect())
-    alone.start()
+    reader = start_entry(endpoint, in_force=read_revision(CONFIG))
+    settings = replace(entry_settings(), seeds=(reader.settings.gossip,))
+    cut_off = Entry(settings, PlatformDialect())
+    cut_off.start()
     for _ in range(40):
         eventlet.sleep(0.05)
-        if alone.is_ready:
+        if cut_off.is_ready:
             break
-    assert alone.is_ready
-    assert alone.revision is not None
-    assert alone.revision.number == 9
-    caller = Caller(alone)
+    assert cut_off.is_ready
+    assert cut_off.revision is not None
+    assert cut_off.revision.number == 9
+    caller = Caller(cut_off)
     caller.send("/once/a")
     assert status_of(caller.read_answer()) == 200
 
 
-def test_entries_count_each_others_requests() -> None:
+def test_entries_count_each_others_requests_in_flight() -> None:
     def endless(dialog: Dialog) -> None:
         dialog.start_stream()
         dialog.wait_until_left()
@@ -183,10 +183,10 @@
     assert row.taken == 0
 
 
-def test_who_is_over_its_limit_is_refused_and_nothing_runs() -> None:
+def test_a_request_over_the_quota_is_refused_and_not_run() -> None:
     endpoint = EndpointStandIn(ok)
-    poor = Organisation("poor", frozenset({"key-1"}), None, 1.0, 1.0, 10**6)
-    entry = start_entry(endpoint, in_force=revision(organisations=(poor,)))
+    limited = Organisation("poor", frozenset({"key-1"}), None, 1.0, 1.0, 10**6)
+    entry = start_entry(endpoint, in_force=revision(organisations=(limited,)))
     first, second = Caller(entry), Caller(entry)
     first.send("/once/a", rid="r-1")
     assert status_of(first.read_answer()) == 429
@@ -195,7 +195,7 @@
     assert len(endpoint.requests) == 1
 
 
-def test_a_caller_that_leaves_is_logged(caplog: pytest.LogCaptureFixture) -> None:
+def test_a_caller_that_disconnects_is_logged(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level("INFO", logger="dockreach")
     entry = start_entry(EndpointStandIn(slow))
     caller = Caller(entry)
@@ -208,7 +208,10 @@
     assert line.endpoint == "e-0"  # type: ignore[attr-defined]
 
 
-def test_a_caller_that_leaves_makes_no_noise(capfd: pytest.CaptureFixture[str]) -> None:
+def test_a_caller_that_disconnects_prints_no_traceback(
+    capfd: pytest.CaptureFixture[str],
+) -> None:
+    """Without a handler, eventlet prints each error that ends a greenlet."""
     entry = start_entry(EndpointStandIn(slow))
     caller = Caller(entry)
     caller.send("/once/a")
--- a/tests/direct/test_entry_pages.py
+++ b/tests/direct/test_entry_pages.py
@@ -1,4 +1,4 @@
-"""What the metrics page of an entry shows."""
+"""The metrics page of an entry."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 
 def series(entry: Entry, name: str) -> list[bytes]:
-    """Return the lines of one metric of the direct path, of an entry's page."""
+    """Return the lines of one metric of the direct path from an entry's metrics page."""
     assert entry.settings.metrics is not None
     page = ask_page(entry.settings.metrics, "/metrics")
     assert DEADLY not in page
-    start = f"dockreach_direct_{name}{{".encode()
-    return [line for line in page.splitlines() if line.startswith(start)]
+    prefix = f"dockreach_direct_{name}{{".encode()
+    return [line for line in page.splitlines() if line.startswith(prefix)]
 
 
 def barred_on(entry: Entry) -> list[bytes]:
-    """Return the series of requests that are not run any more."""
+    """Return the time series of quarantined requests."""
     return series(entry, "request_barred_seconds")
 
 
-def test_a_hall_stands_there_as_emptied_as_long_as_it_is() -> None:
+def test_an_evacuated_hall_is_shown_until_its_evacuation_ends() -> None:
     entry = start_entry()
     entry.take_emptied(frozenset({"hall2"}), 1)
     (row,) = series(entry, "hall_emptied_seconds")
@@ -34,7 +34,7 @@
     assert series(entry, "hall_emptied_seconds") == []
 
 
-def test_on_call_sees_who_sends_what_is_not_run_and_where_to() -> None:
+def test_a_quarantined_request_is_shown_with_its_organisation_and_path() -> None:
     fleet = DyingFleet(entries=2, engines=3)
     first, second = fleet.entries
     for _ in range(2):
@@ -44,7 +44,7 @@
     (row,) = barred_on(first)
     assert b'path="/once/a"' in row
     assert b'organisation="assessors"' in row
-    # The other entry has heard of it, and knows the rest when it comes there.
+    # The other entry has the crash report, but no source until the request arrives there.
     (row,) = barred_on(second)
     assert b'path=""' in row
     fleet.ask(second, DEADLY)
@@ -58,7 +58,7 @@
     assert barred_on(first) == barred_on(second) == []
 
 
-def test_on_call_sees_what_endpoints_say_of_themselves_and_what_is_held_for_it() -> None:
+def test_advertised_state_and_blocked_endpoints_are_shown() -> None:
     fleet = StatingFleet(entries=2, engines=3)
     limited, leaving, resting = fleet.engines
     limited.extra = b"Server-Limit: 0.5\r\n"
--- a/tests/direct/test_forward.py
+++ b/tests/direct/test_forward.py
@@ -1,4 +1,4 @@
-"""Forwarding through a whole entry, against endpoints that behave badly."""
+"""Forwarding through a complete entry, to endpoints that work and that misbehave."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def cut_stream(dialog: Dialog) -> None:
-    """Two events and a part of the third, then a reset."""
+    """Send two events and a part of the third, then reset the connection."""
     dialog.start_stream()
     dialog.chunk(event(1))
     dialog.chunk(event(2) + b"id: 3\nda")
@@ -49,9 +49,9 @@
     endpoint = EndpointStandIn(ok)
     caller = Caller(start_entry(endpoint))
     caller.send("/once/a%2Fb?x=1&&y", body=b"\x00\xffbody", extra="X-A: 1\r\nX-A: 2\r\n")
-    answer = caller.read_answer()
-    assert (status_of(answer), body_of(answer)) == (200, b"fine")
-    assert header_of(answer, b"seal") == b"s"
+    response = caller.read_answer()
+    assert (status_of(response), body_of(response)) == (200, b"fine")
+    assert header_of(response, b"seal") == b"s"
     request = endpoint.requests[0]
     assert request.startswith(b"POST /once/a%2Fb?x=1&&y HTTP/1.1\r\n")
     assert request.endswith(b"\r\n\r\n\x00\xffbody")
@@ -59,7 +59,7 @@
     assert header_of(request, b"request-id") == b"r-1"
 
 
-def test_a_chunked_body_arrives_whole() -> None:
+def test_a_chunked_body_arrives_complete() -> None:
     endpoint = EndpointStandIn(ok)
     caller = Caller(start_entry(endpoint))
     head = (
@@ -73,7 +73,7 @@
     assert endpoint.requests[0].endswith(b"\r\n\r\nabcde")
 
 
-def test_what_callers_must_not_set_is_replaced() -> None:
+def test_headers_that_callers_must_not_set_are_replaced_or_dropped() -> None:
     endpoint = EndpointStandIn(ok)
     caller = Caller(start_entry(endpoint))
     forged = (
@@ -90,7 +90,7 @@
     assert 0 < int(header_of(request, b"request-deadline-ms") or 0) <= 3000
 
 
-def test_both_a_length_and_chunks_are_refused() -> None:
+def test_a_request_with_both_content_length_and_chunks_is_refused() -> None:
     endpoint = EndpointStandIn(ok)
     caller = Caller(start_entry(endpoint))
     caller.send("/once/a", body=b"0\r\n\r\n", extra="Transfer-Encoding: chunked\r\n")
@@ -102,7 +102,7 @@
     ("path", "key", "status"),
     [("/nowhere/a", "key-1", 404), ("/once/a", "no-key", 401)],
 )
-def test_no_route_and_no_key_are_refused(path: str, key: str, status: int) -> None:
+def test_unknown_routes_and_keys_are_refused(path: str, key: str, status: int) -> None:
     endpoint = EndpointStandIn(ok)
     caller = Caller(start_entry(endpoint))
     caller.send(path, key=key)
@@ -110,7 +110,7 @@
     assert endpoint.requests == []
 
 
-def test_a_connection_is_reused_on_both_sides() -> None:
+def test_connections_are_reused_on_both_sides() -> None:
     endpoint = EndpointStandIn(ok)
     caller = Caller(start_entry(endpoint))
     for number in range(3):
@@ -120,12 +120,12 @@
     assert len(endpoint.dialogs) == 1
 
 
-def test_bytes_after_an_answer_end_the_connection_to_the_endpoint() -> None:
-    def with_rest(dialog: Dialog) -> None:
+def test_extra_bytes_after_a_response_close_the_connection_to_the_endpoint() -> None:
+    def respond_with_extra_bytes(dialog: Dialog) -> None:
         dialog.answer(b"fine")
         dialog.send(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx")
 
-    endpoint = EndpointStandIn(with_rest, ok)
+    endpoint = EndpointStandIn(respond_with_extra_bytes, ok)
     caller = Caller(start_entry(endpoint))
     for number in range(2):
         caller.send("/once/a", rid=f"r-{number}")
@@ -134,7 +134,7 @@
     assert len(endpoint.dialogs) == 2
 
 
-def test_a_late_answer_of_another_request_is_told_by_its_id() -> None:
+def test_a_late_response_to_another_request_is_skipped() -> None:
     def late_then_own(dialog: Dialog) -> None:
         dialog.send(
             b"HTTP/1.1 200 OK\r\nRequest-Id: r-old\r\nContent-Length: 5\r\n\r\nwrong"
@@ -147,7 +147,7 @@
     assert body_of(caller.read_answer()) == b"right"
 
 
-def test_an_answer_without_length_that_is_reset_does_not_look_complete() -> None:
+def test_a_response_without_length_that_is_reset_is_not_complete() -> None:
     def unframed_reset(dialog: Dialog) -> None:
         dialog.send(b"HTTP/1.1 200 OK\r\nRequest-Id: " + dialog.rid + b"\r\n\r\nhalf")
         eventlet.sleep(0.05)
@@ -158,7 +158,7 @@
     assert status_of(caller.read_answer()) == 502
 
 
-def test_an_answer_without_length_that_ends_in_order_is_whole() -> None:
+def test_a_response_without_length_that_ends_in_order_is_complete() -> None:
     def unframed(dialog: Dialog) -> None:
         dialog.send(b"HTTP/1.1 200 OK\r\nRequest-Id: " + dialog.rid + b"\r\n\r\nwhole")
         dialog.sock.close()
@@ -168,22 +168,22 @@
     assert body_of(caller.read_answer()) == b"whole"
 
 
-def test_a_request_that_may_have_run_is_not_sent_again_nor_called_not_run() -> None:
+def test_a_request_that_may_have_run_is_neither_retried_nor_reported_as_not_run() -> None:
     first, second = EndpointStandIn(Dialog.reset), EndpointStandIn(Dialog.reset)
     caller = Caller(start_entry(first, second))
     caller.send("/once/a")
-    answer = caller.read_answer()
-    assert status_of(answer) == 502
-    assert header_of(answer, b"retry-after") is None
+    response = caller.read_answer()
+    assert status_of(response) == 502
+    assert header_of(response, b"retry-after") is None
     assert len(first.requests) + len(second.requests) == 1
 
 
-def test_a_repeatable_request_is_sent_to_another_endpoint() -> None:
-    answers: list[bytes] = []
+def test_a_retryable_request_is_sent_to_another_endpoint() -> None:
+    request_ids: list[bytes] = []
 
     def reset_first(dialog: Dialog) -> None:
-        answers.append(dialog.rid)
-        if len(answers) == 1:
+        request_ids.append(dialog.rid)
+        if len(request_ids) == 1:
             dialog.reset()
         else:
             dialog.answer(b"second")
@@ -191,35 +191,35 @@
     caller = Caller(start_entry(EndpointStandIn(reset_first), EndpointStandIn(reset_first)))
     caller.send("/safe/a", method="GET")
     assert body_of(caller.read_answer()) == b"second"
-    assert answers == [b"r-1", b"r-1"]
+    assert request_ids == [b"r-1", b"r-1"]
 
 
-def test_the_last_endpoints_own_error_is_passed_on_unchanged() -> None:
+def test_the_last_endpoints_error_response_is_passed_on_unchanged() -> None:
     def fails(dialog: Dialog) -> None:
         dialog.answer(b"broken", status=b"500 Oops")
 
     endpoints = EndpointStandIn(fails), EndpointStandIn(fails)
     caller = Caller(start_entry(*endpoints))
     caller.send("/safe/a", method="GET")
-    answer = caller.read_answer()
-    assert (status_of(answer), body_of(answer)) == (500, b"broken")
-    assert header_of(answer, b"seal") == b"s"
+    response = caller.read_answer()
+    assert (status_of(response), body_of(response)) == (500, b"broken")
+    assert header_of(response, b"seal") == b"s"
     assert sum(len(row.requests) for row in endpoints) == 2
 
 
-def test_a_refusal_of_the_endpoint_becomes_a_true_not_run_with_a_time() -> None:
+def test_an_endpoints_refusal_becomes_a_not_run_response_with_a_retry_time() -> None:
     def full(dialog: Dialog) -> None:
         dialog.answer(b"", status=b"503 Full", extra=b"Not-Executed: 1\r\n")
 
     caller = Caller(start_entry(EndpointStandIn(full)))
     caller.send("/once/a")
-    answer = caller.read_answer()
-    assert status_of(answer) == 503
-    assert float(header_of(answer, b"retry-after") or 0) > 0
-    assert header_of(answer, b"seal") is None
+    response = caller.read_answer()
+    assert status_of(response) == 503
+    assert float(header_of(response, b"retry-after") or 0) > 0
+    assert header_of(response, b"seal") is None
 
 
-def test_an_endpoint_that_cannot_be_reached_costs_no_attempt() -> None:
+def test_an_unreachable_endpoint_costs_no_attempt() -> None:
     dead, live = EndpointStandIn(ok), EndpointStandIn(ok)
     dead.close()
     entry = start_entry(dead, live)
@@ -229,17 +229,18 @@
         assert status_of(caller.read_answer()) == 200
 
 
-def test_one_whose_address_another_endpoint_has_costs_no_attempt() -> None:
-    """143 drafts and chats were refused in 2 s after a crash of a quarter of the engines.
+def test_a_misdirected_request_costs_no_attempt() -> None:
+    """After a crash, another endpoint can get the address and respond with status 421.
 
-    Others had got the addresses and said that they are not those that were meant. The one
-    attempt that the routes allow was counted, and the engines were tried again after 0.5 s.
+    If that counted, it would use up the one attempt that some routes allow, and the address
+    would be tried again after 0.5 s: after a crash of a quarter of the engines, 143 drafts
+    and chats were refused in 2 s.
     """
 
-    def other(dialog: Dialog) -> None:
+    def misdirected(dialog: Dialog) -> None:
         dialog.answer(b"", status=b"421 Misdirected Request")
 
-    gone, live = EndpointStandIn(other), EndpointStandIn(ok)
+    gone, live = EndpointStandIn(misdirected), EndpointStandIn(ok)
     entry = start_entry(gone, live)
     for number in range(4):
         caller = Caller(entry)
@@ -248,13 +249,13 @@
     assert len(gone.requests) <= 1
 
 
-def test_a_whole_stream_is_passed_on_event_by_event() -> None:
+def test_a_complete_stream_is_passed_on() -> None:
     caller = Caller(start_entry(EndpointStandIn(full_stream)))
     caller.send("/draft/a", body=b"prompt")
     assert body_of(caller.read_answer()) == stream(1, 2, 3)
 
 
-def test_a_cut_stream_that_must_not_be_repeated_does_not_look_complete() -> None:
+def test_a_truncated_stream_that_must_not_be_retried_does_not_look_complete() -> None:
     endpoint = EndpointStandIn(cut_stream)
     caller = Caller(start_entry(endpoint))
     caller.send("/draft/a", body=b"prompt")
@@ -273,27 +274,27 @@
     return True
 
 
-def test_a_cut_stream_is_resumed_after_the_last_whole_event() -> None:
-    def rest(dialog: Dialog) -> None:
+def test_a_truncated_stream_is_resumed_after_the_last_complete_event() -> None:
+    def send_remaining_events(dialog: Dialog) -> None:
         dialog.start_stream()
         dialog.chunk(event(3))
         dialog.chunk(b"")
 
-    script = [cut_stream, rest]
+    scripts = [cut_stream, send_remaining_events]
 
-    def in_turn(dialog: Dialog) -> None:
-        script.pop(0)(dialog)
+    def run_next_script(dialog: Dialog) -> None:
+        scripts.pop(0)(dialog)
 
-    endpoints = EndpointStandIn(in_turn), EndpointStandIn(in_turn)
+    endpoints = EndpointStandIn(run_next_script), EndpointStandIn(run_next_script)
     caller = Caller(start_entry(*endpoints))
     caller.send("/brief/a", body=b"prompt")
     assert body_of(caller.read_answer()) == stream(1, 2, 3)
-    last = [row.requests for row in endpoints if row.requests]
-    resumed = [r for rows in last for r in rows if header_of(r, b"last-event-id")]
+    requests = [row.requests for row in endpoints if row.requests]
+    resumed = [r for rows in requests for r in rows if header_of(r, b"last-event-id")]
     assert [header_of(r, b"last-event-id") for r in resumed] == [b"2"]
 
 
-def test_the_endpoints_work_stops_when_the_caller_leaves() -> None:
+def test_the_endpoints_work_stops_when_the_caller_disconnects() -> None:
     def endless(dialog: Dialog) -> None:
         dialog.start_stream()
         dialog.chunk(event(1))
@@ -310,23 +311,23 @@
     assert [row.own for row in entry.endpoints] == [0]
 
 
-def test_a_long_body_does_not_hold_up_an_early_answer() -> None:
-    def early(dialog: Dialog) -> None:
+def test_a_long_body_does_not_delay_an_early_response() -> None:
+    def respond_early(dialog: Dialog) -> None:
         dialog.answer(b"", status=b"413 Too Large")
 
-    caller = Caller(start_entry(EndpointStandIn(early)))
+    caller = Caller(start_entry(EndpointStandIn(respond_early)))
     caller.send("/once/a", body=b"x" * 300_000)
     assert status_of(caller.read_answer()) == 413
 
 
-def test_a_request_past_its_deadline_gets_its_final_answer() -> None:
+def test_a_request_past_its_deadline_gets_a_final_response() -> None:
     def silent(dialog: Dialog) -> None:
         dialog.wait_until_left()
 
     endpoint = EndpointStandIn(silent)
     caller = Caller(start_entry(endpoint))
     caller.send("/once/a", deadline_ms=300)
-    answer = caller.read_answer()
-    assert status_of(answer) == 504
+    response = caller.read_answer()
+    assert status_of(response) == 504
     eventlet.sleep(0.1)
     assert endpoint.dialogs[0].left
--- a/tests/direct/test_loops.py
+++ b/tests/direct/test_loops.py
@@ -1,4 +1,4 @@
-"""Loops go on after a fault of the program."""
+"""Background loops continue after an unexpected error."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from dockreach.direct.loops import AFTER_FAULT_S, run_forever
 
 
-def test_a_fault_costs_one_step_and_is_logged(caplog: pytest.LogCaptureFixture) -> None:
+def test_an_error_ends_one_step_and_is_logged(caplog: pytest.LogCaptureFixture) -> None:
     steps: list[int] = []
 
     def step() -> None:
         steps.append(len(steps))
         if len(steps) == 1:
-            raise ZeroDivisionError("a fault of the program")
+            raise ZeroDivisionError("unexpected error")
         eventlet.sleep(0.01)
 
     loop = eventlet.spawn(run_forever, step)
@@ -26,7 +26,7 @@
     assert "in step" in row["trace"]
 
 
-def test_a_loop_that_is_killed_ends() -> None:
+def test_a_killed_loop_ends() -> None:
     loop = eventlet.spawn(run_forever, eventlet.sleep)
     eventlet.sleep(0.01)
     loop.kill()
--- a/tests/direct/test_pool.py
+++ b/tests/direct/test_pool.py
@@ -1,4 +1,4 @@
-"""Idle connections to endpoints."""
+"""The pool of idle connections to endpoints."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def used(pool: ConnectionPool, address: str) -> EndpointConnection:
-    """Send one request; return the connection, with its answer read whole."""
+    """Send one request; return the connection after its response was read completely."""
     conn = pool.get(address)
     conn.send(b"GET", b"/", [(b"Host", b"h")], None)
     conn.read_head()
@@ -31,7 +31,9 @@
 
 
 @given(limit=st.integers(1, 1000), entries=st.integers(1, 400))
-def test_entries_together_leave_room_for_new_connections(limit: int, entries: int) -> None:
+def test_idle_connections_of_all_entries_leave_room_for_new_ones(
+    limit: int, entries: int
+) -> None:
     share = idle_share(limit, entries)
     assert 1 <= share <= MOST_IDLE
     assert share == 1 or share * entries <= limit / 2
@@ -47,7 +49,7 @@
     assert (pool.opened, pool.reused) == (2, 0)
 
 
-def test_a_connection_is_not_kept_longer_than_the_endpoint_says() -> None:
+def test_a_connection_is_not_reused_after_the_endpoints_keep_alive_time() -> None:
     endpoint = EndpointStandIn(ok)
     pool = ConnectionPool(1.0)
     pool.put(used(pool, endpoint.address), 1.0)
@@ -55,7 +57,7 @@
     assert pool.reused == 0
 
 
-def test_no_more_are_kept_than_allowed() -> None:
+def test_no_more_idle_connections_are_kept_than_allowed() -> None:
     endpoint = EndpointStandIn(ok)
     pool = ConnectionPool(1.0)
     conns = [used(pool, endpoint.address) for _ in range(3)]
@@ -66,6 +68,6 @@
     assert (pool.opened, pool.reused) == (4, 2)
 
 
-def test_a_dead_port_is_an_error_at_once() -> None:
+def test_a_closed_port_raises_an_error() -> None:
     with pytest.raises(ConnectError):
         ConnectionPool(1.0).get("127.0.0.1:9")
--- a/tests/direct/test_replays.py
+++ b/tests/direct/test_replays.py
@@ -1,4 +1,4 @@
-"""Load patterns against the decisions alone: many entries serve as one that knows all."""
+"""Replays load patterns on the decision core: many entries do as well as a single one."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 
 ENGINES = 8
 AS_GOOD = 0.95
-"""Part of the worth of one entry, which knows of all requests, that many entries reach."""
+"""Fraction of the value of a single entry, which sees all requests, that many entries must
+reach."""
 
 
 def worth(
@@ -28,15 +29,15 @@
 
 @pytest.mark.parametrize("pattern", PATTERNS, ids=lambda pattern: pattern.name)
 def test_sixteen_entries_serve_nearly_as_well_as_one(pattern: Pattern) -> None:
-    one = worth(pattern, 1, 5)
-    assert worth(pattern, 16, 5) >= AS_GOOD * one
+    single_entry = worth(pattern, 1, 5)
+    assert worth(pattern, 16, 5) >= AS_GOOD * single_entry
 
 
-def test_they_do_where_one_message_in_twenty_is_lost() -> None:
+def test_sixteen_entries_tolerate_a_loss_of_one_message_in_twenty() -> None:
     pattern = PATTERNS[1]
     assert worth(pattern, 16, 6, loss=0.05) >= AS_GOOD * worth(pattern, 1, 6)
 
 
-def test_without_one_that_gives_out_the_places_they_do_not() -> None:
+def test_sixteen_entries_without_a_coordinator_serve_worse() -> None:
     pattern = PATTERNS[1]
     assert worth(pattern, 16, 5, alone=True) < AS_GOOD * worth(pattern, 1, 5)
--- a/tests/direct/test_serving.py
+++ b/tests/direct/test_serving.py
@@ -1,4 +1,4 @@
-"""Callers that left before their request was served."""
+"""Callers that close their connection before their request is served."""
 
 from __future__ import annotations
 
@@ -13,7 +13,11 @@
     dialog.answer(b"fine")
 
 
-def test_a_request_whose_caller_has_left_already_reaches_no_endpoint() -> None:
+def test_a_request_of_a_disconnected_caller_reaches_no_endpoint() -> None:
+    """After a pause, an entry finds requests together with the ends of their connections.
+
+    Without a check before serving, endpoints would run requests that callers gave up.
+    """
     endpoint = EndpointStandIn(ok)
     entry = start_entry(endpoint)
     fill_pool(entry, endpoint, 5)
@@ -21,7 +25,7 @@
     for number, caller in enumerate(callers):
         caller.send("/safe/a", rid=f"r-{number}")
         caller.close()
-    # The entry finds the requests and the ends of their connections together.
+    # Blocks the entry's thread, so that it finds each request with its connection closed.
     time.sleep(0.1)
     eventlet.sleep(0.3)
-    assert len(endpoint.requests) == 5, "only those that filled the pool"
+    assert len(endpoint.requests) == 5, "more than the requests that filled the pool"
--- a/tests/direct/test_silent_connections.py
+++ b/tests/direct/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints that fall silent for good, while new ones work."""
+"""Connections to endpoints that stall for good, while new ones work."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def ask(entry: Entry, path: str, rid: str) -> tuple[int, float]:
-    """Send one request; return its status and how long it took, in seconds."""
+    """Send one request; return its status and its duration, in seconds."""
     caller = Caller(entry)
     began = time.monotonic()
     caller.send(path, rid=rid)
@@ -36,7 +36,7 @@
     return status, time.monotonic() - began
 
 
-def test_what_must_not_be_repeated_is_not_sent_on_a_connection_that_rested() -> None:
+def test_a_request_that_must_not_be_retried_is_not_sent_on_an_idle_connection() -> None:
     endpoint = EndpointStandIn(ok)
     entry = start_entry(endpoint)
     fill_pool(entry, endpoint)
@@ -47,7 +47,7 @@
     assert took_s < OBJECTIVE_S
 
 
-def test_the_last_attempt_is_not_sent_on_a_connection_that_rested() -> None:
+def test_the_last_attempt_is_not_sent_on_an_idle_connection() -> None:
     endpoints = [EndpointStandIn(ok) for _ in range(3)]
     entry = start_entry(*endpoints)
     for endpoint in endpoints:
@@ -60,7 +60,7 @@
     assert took_s < 3 * OBJECTIVE_S
 
 
-def test_after_one_silent_connection_no_other_idle_one_is_used() -> None:
+def test_after_one_stalled_connection_no_other_idle_one_is_used() -> None:
     endpoints = [EndpointStandIn(slow) for _ in range(3)]
     entry = start_entry(*endpoints)
     for endpoint in endpoints:
@@ -69,14 +69,14 @@
         endpoint.mute()
     ask(entry, "/safe/a", "r-1")
     eventlet.sleep(SUSPECT_FIRST_S + 0.1)
-    # So many at once that each endpoint is given some.
-    asking = [eventlet.spawn(ask, entry, "/safe/a", f"r-2-{n}") for n in range(9)]
-    answers = [greenlet.wait() for greenlet in asking]
-    assert {status for status, _ in answers} == {200}
-    assert max(took_s for _, took_s in answers) < PLAIN_SILENCE * OBJECTIVE_S
+    # Enough concurrent requests that each endpoint gets some.
+    greenlets = [eventlet.spawn(ask, entry, "/safe/a", f"r-2-{n}") for n in range(9)]
+    results = [greenlet.wait() for greenlet in greenlets]
+    assert {status for status, _ in results} == {200}
+    assert max(took_s for _, took_s in results) < PLAIN_SILENCE * OBJECTIVE_S
 
 
-def test_a_connection_that_was_used_a_moment_ago_is_kept_in_use() -> None:
+def test_a_recently_used_connection_is_reused() -> None:
     endpoint = EndpointStandIn(ok)
     entry = start_entry(endpoint)
     for number in range(5):
--- a/tests/direct/test_standins.py
+++ b/tests/direct/test_standins.py
@@ -1,4 +1,4 @@
-"""The stand-ins leave nothing behind that another test trips over."""
+"""Stand-ins leave no state behind that makes another test fail."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
     dialog.answer(b"fine")
 
 
-def test_a_closed_endpoint_no_longer_waits_for_callers() -> None:
-    """A test was refused a connection, once, beside a busy machine.
+def test_closing_a_stand_in_unregisters_its_listener() -> None:
+    """A listener that stays registered in eventlet's hub breaks a later listener.
 
-    An endpoint had been closed while a greenlet waited on its listener. The hub went on to
-    hold that number of a file, the next listener got the same one, and its entry failed:
-    "Second simultaneous read on fileno 99 detected".
+    If a stand-in is closed while a greenlet waits on its listener, the hub keeps the file
+    descriptor. The next listener gets the same one, and its entry fails with "Second
+    simultaneous read on fileno 99 detected", so that a test's connection is refused.
     """
     engine = EndpointStandIn(ok)
     eventlet.sleep(0)
