--- a/tests/platform/store_standin.py
+++ b/tests/platform/store_standin.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's store: pages, watches, and the ways in which it fails."""
+"""In-process stand-in for the platform's store: pages, watches and failure modes."""
 
 from __future__ import annotations
 
--- a/tests/platform/test_declared.py
+++ b/tests/platform/test_declared.py
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize(
-    ("fields", "repeat"),
+    ("fields", "retry_mode"),
     [
         ({"type": "streaming", "resumable": True}, Repeat.RESUME),
         ({"type": "streaming"}, Repeat.NEVER),
@@ -46,9 +46,11 @@
         ({"type": "unsafe"}, Repeat.NEVER),
     ],
 )
-def test_route_type_decides_the_retry_mode(fields: dict[str, Any], repeat: Repeat) -> None:
+def test_route_type_decides_the_retry_mode(
+    fields: dict[str, Any], retry_mode: Repeat
+) -> None:
     found = read_revision(config(route(**fields)))
-    assert found.routes[0].repeat is repeat
+    assert found.routes[0].repeat is retry_mode
 
 
 def test_times_are_converted_to_seconds_and_quotas_are_read() -> None:
