--- a/tests/platform/test_follower.py
+++ b/tests/platform/test_follower.py
@@ -11,7 +11,7 @@
 from dockreach import clock
 from dockreach.direct.entry import Entry
 from dockreach.direct.feeds import CallLimits
-from dockreach.direct.fleet import Revision
+from dockreach.direct.routing_config import ConfigRevision
 from dockreach.errors import PlatformError
 from dockreach_platform.follower import Follower
 from dockreach_platform.headers import PlatformDialect
@@ -20,7 +20,7 @@
 
 from .store_standin import StoreStandIn, endpoint_entry
 
-LIMITS = CallLimits(wait_s=0.1, answer_s=1.0)
+LIMITS = CallLimits(wait_s=0.1, read_timeout_s=1.0)
 
 
 def server(state: str = "ready") -> bytes:
@@ -235,7 +235,7 @@
     store.put("op/evacuate/z", b"{}")
     store.forget()
     eventlet.sleep(0.3)
-    assert entry.endpoints.emptied == {"z"}
+    assert entry.endpoints.evacuated == {"z"}
     assert entry.revision is not None
     assert entry.revision.number == 3
     assert [row for row in caplog.records if vars(row)["event"] == 301]
@@ -248,7 +248,7 @@
     faults = iter([ZeroDivisionError("a fault of the program")])
     take = entry.take_revision
 
-    def faulty(revision: Revision, source: str) -> bool:
+    def faulty(revision: ConfigRevision, source: str) -> bool:
         for fault in faults:
             raise fault
         return take(revision, source)
@@ -284,7 +284,7 @@
     assert len(entry.endpoints) == 4
     refused = [vars(row) for row in caplog.records if vars(row)["event"] == 532]
     assert [row["endpoint"] for row in refused] == ["i-1"]
-    assert entry.feeds.refused_entries == 1
+    assert entry.feeds.invalid_records == 1
     store.put("servers/i-1", server())
     eventlet.sleep(0.3)
     assert entry.endpoints.get("i-1") is not None
@@ -316,13 +316,13 @@
     store.put("op/evacuate/z", b"{}")
     store.put("op/config", config(9))
     eventlet.sleep(0.4)
-    assert entry.endpoints.emptied == {"z"}
+    assert entry.endpoints.evacuated == {"z"}
     assert entry.endpoints.usable("s", clock.now()) == []
     assert entry.revision is not None
     assert entry.revision.number == 9
     store.delete("op/evacuate/z")
     eventlet.sleep(0.6)
-    assert entry.endpoints.emptied == frozenset()
+    assert entry.endpoints.evacuated == frozenset()
     assert len(entry.endpoints.usable("s", clock.now())) == 5
 
 
@@ -333,7 +333,7 @@
     store.put("op/evacuate/z", b"{}")
     store.delete("op/evacuate/z")
     eventlet.sleep(0.6)
-    assert entry.endpoints.emptied == frozenset()
+    assert entry.endpoints.evacuated == frozenset()
 
 
 def test_evacuations_set_and_deleted_across_a_compaction_are_applied(
@@ -343,12 +343,12 @@
     store.put("op/evacuate/z", b"{}")
     store.forget()
     eventlet.sleep(0.4)
-    assert entry.endpoints.emptied == {"z"}
+    assert entry.endpoints.evacuated == {"z"}
     before = entry.emptied.revision
     store.delete("op/evacuate/z")
     store.forget()
     eventlet.sleep(0.6)
-    assert entry.endpoints.emptied == frozenset()
+    assert entry.endpoints.evacuated == frozenset()
     assert entry.emptied.revision > before
 
 
@@ -357,4 +357,4 @@
 ) -> None:
     store.put("op/evacuate/z", b"{}")
     entry = follow(store)
-    assert entry.endpoints.emptied == {"z"}
+    assert entry.endpoints.evacuated == {"z"}
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from dockreach.direct.http1 import BadRequestError, RawHead, RawRequest
-from dockreach.direct.notice import NO_NOTICE, Notice, Unreadable
+from dockreach.direct.notice import NO_NOTICE, EndpointNotice, InvalidValue
 from dockreach.direct.requests import Load, Standing
 from dockreach.verdict import Reason, Refusal, Verdict
 from dockreach_platform.headers import PlatformDialect
@@ -92,13 +92,19 @@
 @pytest.mark.parametrize(
     ("response", "notice"),
     [
-        (head(200, (b"Server-Limit", b"2.5")), Notice(rate=2.5)),
-        (head(500, (b"server-limit", b" 0 ")), Notice(rate=0.0)),
-        (head(200, (b"Server-Limit", b"3"), (b"Server-Limit", b"1")), Notice(rate=1.0)),
-        (head(429, (b"Server-Leaving", b"1")), Notice(is_leaving=True)),
+        (head(200, (b"Server-Limit", b"2.5")), EndpointNotice(rate=2.5)),
+        (head(500, (b"server-limit", b" 0 ")), EndpointNotice(rate=0.0)),
+        (
+            head(200, (b"Server-Limit", b"3"), (b"Server-Limit", b"1")),
+            EndpointNotice(rate=1.0),
+        ),
+        (head(429, (b"Server-Leaving", b"1")), EndpointNotice(is_leaving=True)),
         (head(200, (b"Server-Leaving", b"0")), NO_NOTICE),
-        (head(503, (b"Retry-After", b"0.5")), Notice(rest_s=0.5)),
-        (head(503, (b"Retry-After", b"1"), (b"Retry-After", b"3")), Notice(rest_s=3.0)),
+        (head(503, (b"Retry-After", b"0.5")), EndpointNotice(backoff_s=0.5)),
+        (
+            head(503, (b"Retry-After", b"1"), (b"Retry-After", b"3")),
+            EndpointNotice(backoff_s=3.0),
+        ),
         # Retry-After is a back-off request only together with status 503.
         (head(429, (b"Retry-After", b"3")), NO_NOTICE),
         # A response of 421 comes from another endpoint that has the address now.
@@ -107,7 +113,7 @@
         (head(200, (b"Connection", b"close")), NO_NOTICE),
     ],
 )
-def test_status_headers_are_decoded(response: RawHead, notice: Notice) -> None:
+def test_status_headers_are_decoded(response: RawHead, notice: EndpointNotice) -> None:
     assert DIALECT.read_answer(response).notice == notice
 
 
@@ -116,16 +122,16 @@
 )
 def test_a_limit_that_is_no_number_is_reported_as_invalid(value: bytes) -> None:
     notice = DIALECT.read_answer(head(200, (b"Server-Limit", value))).notice
-    assert notice.unreadable == [
-        Unreadable("server-limit", value.decode(), "not a decimal number")
+    assert notice.invalid_values == [
+        InvalidValue("server-limit", value.decode(), "not a decimal number")
     ]
 
 
 def test_a_back_off_until_a_date_is_reported_as_invalid() -> None:
     date = b"Thu, 03 Dec 2026 08:00:00 GMT"
     notice = DIALECT.read_answer(head(503, (b"Retry-After", date))).notice
-    assert [value.name for value in notice.unreadable] == ["retry-after"]
-    assert not notice.rest_s
+    assert [value.name for value in notice.invalid_values] == ["retry-after"]
+    assert not notice.backoff_s
 
 
 @given(
@@ -138,7 +144,7 @@
     response = DIALECT.read_answer(head(status, *values))
     assert response.status == status
     rate = response.notice.rate
-    assert isinstance(rate, Unreadable) or rate is None or math.isfinite(rate)
+    assert isinstance(rate, InvalidValue) or rate is None or math.isfinite(rate)
 
 
 @pytest.mark.parametrize("reason", list(Reason))
--- a/tests/platform/test_readers.py
+++ b/tests/platform/test_readers.py
@@ -10,7 +10,7 @@
 
 from dockreach.direct.digest import Address
 from dockreach.direct.entry import Entry
-from dockreach.direct.readers import READERS
+from dockreach.direct.readers import READERS_PER_HALL
 from dockreach_platform.follower import Follower
 from dockreach_platform.headers import PlatformDialect
 from tests.direct.standins import entry_settings
@@ -60,7 +60,7 @@
     before = len(store.calls)
     eventlet.sleep(IN_FORCE_S)
     # Each reader makes two calls in 1.9 to 2.4 s.
-    assert len(store.calls) - before <= READERS * 2 * 3
+    assert len(store.calls) - before <= READERS_PER_HALL * 2 * 3
     assert len(entries) == ENTRIES
 
 
@@ -72,7 +72,7 @@
     store.put("servers/i-1", server("draining"))
     assert wait_until(all_so(entries, lambda entry: knows(entry, 4)), 4.0) < 2.0
     assert wait_until(all_so(entries, lambda entry: leaves(entry, "i-1")), 4.0) < 1.0
-    assert len(store.calls) - calls <= READERS * 4
+    assert len(store.calls) - calls <= READERS_PER_HALL * 4
 
 
 def test_changes_are_applied_in_time_when_the_readers_calls_stall(
@@ -96,7 +96,7 @@
 
 
 def emptied(entry: Entry) -> bool:
-    return entry.endpoints.emptied == {"z"}
+    return entry.endpoints.evacuated == {"z"}
 
 
 def test_evacuations_begin_and_end_at_entries_that_do_not_poll_the_store(
@@ -107,7 +107,7 @@
     assert wait_until(all_so(entries, emptied), 4.0) < 2.0
     store.delete("op/evacuate/z")
     assert wait_until(all_so(entries, lambda entry: not emptied(entry)), 4.0) < 2.0
-    assert len(store.calls) - calls <= READERS * 5
+    assert len(store.calls) - calls <= READERS_PER_HALL * 5
 
 
 def test_an_evacuation_is_applied_in_time_when_the_readers_calls_stall(
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -24,7 +24,7 @@
 
     def watch(after: int, limits: CallLimits) -> str | None:
         del after
-        held.append(limits.wait_s + limits.answer_s)
+        held.append(limits.wait_s + limits.read_timeout_s)
         if len(held) == count:
             raise _StopError
         raise PlatformError("silent")
