--- a/dockreach/direct/peers.py
+++ b/dockreach/direct/peers.py
@@ -199,7 +199,7 @@
     def in_flight(
         self,
         now: float,
-        in_flight_of: Callable[[Digest], dict[str, int]] = attrgetter("under_way"),
+        in_flight_of: Callable[[Digest], dict[str, int]] = attrgetter("in_flight"),
     ) -> dict[str, int]:
         """Return the requests in flight from all fresh peers, by endpoint.
 
