--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -93,20 +93,20 @@
     ),
     Edit(
         "limits let in evenly",
-        "direct/spending.py",
-        "        if not self._is_even(organisation, buckets):",
+        "direct/token_quota.py",
+        "        if not self._is_within_burst(organisation, buckets):",
         "        if False:",
     ),
     Edit(
         "low tiers leave a part of limits",
-        "direct/spending.py",
-        "LOWER_TIER = 0.04",
-        "LOWER_TIER = 0.0",
+        "direct/token_quota.py",
+        "TIER_RESERVE_FRACTION = 0.04",
+        "TIER_RESERVE_FRACTION = 0.0",
     ),
     Edit(
         "what peers spent since they told",
-        "direct/spending.py",
-        "            unreported = self._untold(buckets, now)\n",
+        "direct/token_quota.py",
+        "            unreported = self._estimate_unreported(buckets, now)\n",
         "            unreported = 0\n",
     ),
     Edit(
@@ -118,7 +118,7 @@
     Edit(
         "retries and resumes",
         "direct/context.py",
-        "        return self.retries.take(service, self.entries, self.now())",
+        "        return self.retries.try_acquire(service, self.entries, self.now())",
         "        return False",
     ),
 )
--- a/benchmarks/crashing.py
+++ b/benchmarks/crashing.py
@@ -15,7 +15,12 @@
 
 import click
 
-from dockreach.direct.crashers import SOUND_EVENTS, SOUND_RUN_S, Admission, Crashers
+from dockreach.direct.quarantine import (
+    HARMLESS_EVENTS,
+    HARMLESS_RUN_S,
+    Admission,
+    RequestQuarantine,
+)
 
 ENGINES = 6
 SOUND_A_S = 14.0
@@ -47,7 +52,7 @@
     name: str
     most_runs: int
     suspects_all: bool = False
-    sound_s: float = min(SOUND_RUN_S, SOUND_EVENTS * EVENT_GAP_S)
+    sound_s: float = min(HARMLESS_RUN_S, HARMLESS_EVENTS * EVENT_GAP_S)
     has_trials: bool = True
 
 
@@ -76,8 +81,8 @@
         self._other_ends_s = other_ends_s
         self._whole_s = whole_s
         self._now = 0.0
-        self._crashers = Crashers(
-            lambda: self._now, lambda _: way.has_trials, most_runs=way.most_runs
+        self._crashers = RequestQuarantine(
+            lambda: self._now, lambda _: way.has_trials, max_runs=way.most_runs
         )
         self._engines = [_Engine() for _ in range(ENGINES)]
         self._todo: list[tuple[float, int, Callable[[], None]]] = []
@@ -111,7 +116,7 @@
         self._at(self._now + self._rng.expovariate(SOUND_A_S), self._sound)
 
     def _send(self, name: bytes, tries: int) -> None:
-        if self._crashers.admit(name) in (Admission.BARRED, Admission.DOUBTED):
+        if self._crashers.admit(name) in (Admission.QUARANTINED, Admission.SERIALIZED):
             self.found.barred += name != DEADLY
             return
         up = [engine for engine in self._engines if engine.up_at <= self._now]
@@ -130,7 +135,7 @@
     def _answer(self, engine: _Engine, number: int) -> None:
         run = engine.runs.pop(number, None)
         if run is not None:
-            self._crashers.note_answered(run[0])
+            self._crashers.record_completion(run[0])
 
     def _crash(self, engine: _Engine, lives: int) -> None:
         if engine.lives == lives:
@@ -154,7 +159,7 @@
         for name, sent, tries in runs.values():
             is_young = self._now - sent < READ_S + self._way.sound_s
             if is_young or self._way.suspects_all:
-                self._crashers.note_end(name, life, sent=sent, ended=self._now)
+                self._crashers.record_crash(name, life, sent_at=sent, crashed_at=self._now)
             if name != DEADLY:
                 self.found.cut += 1
                 if tries > 1:
@@ -165,7 +170,7 @@
     Way("never barred", 10**6),
     Way("two runs, young runs suspected", 2),
     Way("three runs, young runs suspected", 3),
-    Way("two runs, runs below 1 s suspected", 2, sound_s=SOUND_RUN_S),
+    Way("two runs, runs below 1 s suspected", 2, sound_s=HARMLESS_RUN_S),
     Way("two runs, young, no trial", 2, has_trials=False),
     Way("three runs, young, no trial", 3, has_trials=False),
     Way("two runs, all runs suspected", 2, suspects_all=True),
--- a/benchmarks/digests.py
+++ b/benchmarks/digests.py
@@ -18,7 +18,7 @@
 from dockreach.direct.endpoints import EndpointTable, Published
 from dockreach.direct.peers import PeerTable
 from dockreach.direct.routing_config import Organisation
-from dockreach.direct.spending import SpendTable, Tolerance
+from dockreach.direct.token_quota import QuotaTable, QuotaTolerance
 
 RESULTS = Path("docs/results/digests.md")
 REPEATS = 2000
@@ -48,7 +48,7 @@
     table = _endpoints()
     for number in range(entries - 1):
         peers.merge(_digest(number, 1), 1000.0)
-    spending = SpendTable(peers, Tolerance(), started=0.0, has_past=False)
+    spending = QuotaTable(peers, QuotaTolerance(), started_at=0.0, has_predecessor=False)
     sample = _digest(0, 1)
     data = encode(sample)
     organisation = Organisation("organisation-1", frozenset(), None, 1e9, 1e9, 200)
--- a/dockreach/direct/context.py
+++ b/dockreach/direct/context.py
@@ -7,16 +7,16 @@
 
 from .. import clock
 from ..metrics import Metrics
-from .crash_reports import CrashReports
+from .crash_reporter import CrashReporter
 from .dialect import Dialect
 from .endpoints import EndpointTable
 from .first_attempts import FirstAttemptEstimator
 from .notice_tracker import NoticeTracker
-from .outcomes import Tally
+from .outcomes import OutcomeCounter
 from .pool import ConnectionPool
-from .retrying import RetryBudget
+from .retry_budget import RetryBudget
 from .scheduling import Scheduler
-from .spending import SpendTable
+from .token_quota import QuotaTable
 
 
 @dataclass(slots=True)
@@ -41,14 +41,14 @@
     dialect: Dialect
     endpoints: EndpointTable
     scheduler: Scheduler
-    spending: SpendTable
+    spending: QuotaTable
     retries: RetryBudget
     pool: ConnectionPool
     metrics: Metrics
-    crashes: CrashReports
+    crashes: CrashReporter
     notices: NoticeTracker
     counters: Counters = field(default_factory=Counters)
-    tally: Tally = field(default_factory=Tally)
+    tally: OutcomeCounter = field(default_factory=OutcomeCounter)
     first_tries: FirstAttemptEstimator = field(default_factory=FirstAttemptEstimator)
     entries: int = 1
     """Number of entries that may be running, this one included."""
@@ -66,4 +66,4 @@
 
     def take_retry(self, service: str) -> bool:
         """Take one retry from a service's budget; return whether there was one left."""
-        return self.retries.take(service, self.entries, self.now())
+        return self.retries.try_acquire(service, self.entries, self.now())
--- a/dockreach/direct/crash_reports.py
+++ b/dockreach/direct/crash_reporter.py
@@ -10,40 +10,40 @@
 from cachetools import TTLCache
 
 from ..events import Event, log
-from .crash_record import Suspect
-from .crashers import KEPT_S, MOST_KEPT, Crashers
+from .crash_history import CrashReport
 from .digest import CrashUpdate
 from .endpoint_connection import EndpointConnection
 from .endpoints import EndpointRow, EndpointTable
 from .http1 import ConnectError
+from .quarantine import MAX_HISTORIES, RETENTION_S, RequestQuarantine
 
-CLOSED_S = 0.05
+PROXY_CLOSE_S = 0.05
 """Time within which a proxy that still listens for an exited engine closes a connection, in
 seconds. A running engine waits for a request."""
 
-AWAITED_S = 6.0
+PENDING_S = 6.0
 """How long an unanswered request waits for the platform to report the engine's exit, in
 seconds: three missed heartbeats. An engine that is back at once accepts connections like
 the old one, so that connecting to it shows nothing."""
 
-AT_WORK_S = 1.0
+CANCEL_DELAY_S = 1.0
 """How long an engine may go on with an abandoned request, in seconds: twice the time within
 which it should stop. Without this allowance any response of the engine in that time would
 hide that the request crashes it."""
 
-MOST_AWAITED = 64
+MAX_PENDING_ENGINES = 64
 """Maximum number of engines with unanswered requests that wait for a reported exit."""
 
-MOST_LOSSES = 16
+MAX_PENDING_REQUESTS = 16
 """Maximum number of such requests per engine, the latest ones: as many as run there at a
 time."""
 
-TELL_AGAIN_S = (0.1, 0.4, 1.2)
+RESEND_DELAYS_S = (0.1, 0.4, 1.2)
 """Delays after which the report on a quarantined request is sent again, in seconds: of four
 datagrams one arrives on a link that loses half, before most callers retry. A first crash is
 reported once, and then with digests: at 300 entries each report takes 300 datagrams."""
 
-MOST_GREETED = 16
+MAX_STARTUP_REPORTS = 16
 """Maximum number of requests reported at once to an entry that has just started."""
 
 
@@ -59,25 +59,25 @@
     organisation: str
 
 
-UNSEEN = Source("", "")
+UNKNOWN_SOURCE = Source("", "")
 """Source of a request that has not arrived here since other entries reported it."""
 
 
-class BarredRequest(NamedTuple):
+class QuarantinedRequest(NamedTuple):
     """A quarantined request.
 
     Attributes:
         fingerprint: The same each time the request is sent.
         source: Where it comes from.
-        ended_s: Time since it last crashed an engine, in seconds.
+        crash_age_s: Time since it last crashed an engine, in seconds.
     """
 
     fingerprint: bytes
     source: Source
-    ended_s: float
+    crash_age_s: float
 
 
-class Loss(NamedTuple):
+class UnansweredRequest(NamedTuple):
     """A request without a complete response, whose engine may have crashed.
 
     It had produced no event, or had only just begun to.
@@ -87,69 +87,69 @@
         fingerprint: The same each time the request is sent.
         organisation: Organisation whose key the request carries.
         row: The engine.
-        sent: Monotonic time at which the request was sent to it, in seconds.
-        at: Monotonic time at which its connection broke or it was abandoned, in seconds.
-        is_cut: Whether the connection broke; otherwise the entry abandoned the request.
+        sent_at: Monotonic time at which the request was sent to it, in seconds.
+        ended_at: Monotonic time at which its connection broke or it was abandoned, in seconds.
+        is_connection_broken: Whether the connection broke; otherwise the entry abandoned the request.
     """
 
     path: str
     fingerprint: bytes
     organisation: str
     row: EndpointRow
-    sent: float
-    at: float
-    is_cut: bool = True
+    sent_at: float
+    ended_at: float
+    is_connection_broken: bool = True
 
 
-class CrashReports:
+class CrashReporter:
     """Reports engine crashes during requests of this entry.
 
     Args:
-        crashers: Crashes that all entries have observed, and the requests they quarantine.
+        quarantine: Crashes that all entries have observed, and the requests they quarantine.
         endpoints: Endpoints that requests are sent to.
         send_all: Sends an update to all other entries.
         clock: Returns the monotonic time, in seconds.
-        connect_s: Maximum time to establish a connection to an engine, in seconds.
+        connect_timeout_s: Maximum time to establish a connection to an engine, in seconds.
         refuse: Refuses the copies of a quarantined request that wait here.
     """
 
     def __init__(
         self,
-        crashers: Crashers,
+        quarantine: RequestQuarantine,
         endpoints: EndpointTable,
         send_all: Callable[[CrashUpdate], None],
         clock: Callable[[], float],
-        connect_s: float,
+        connect_timeout_s: float,
         refuse: Callable[[bytes], None],
     ) -> None:
-        self.crashers = crashers
+        self.quarantine = quarantine
         self._endpoints = endpoints
         self._send_all = send_all
         self._clock = clock
-        self._connect_s = connect_s
+        self._connect_timeout_s = connect_timeout_s
         self._refuse = refuse
-        self._awaited: TTLCache[str, deque[Loss]] = TTLCache(
-            MOST_AWAITED, ttl=AWAITED_S, timer=clock
+        self._pending: TTLCache[str, deque[UnansweredRequest]] = TTLCache(
+            MAX_PENDING_ENGINES, ttl=PENDING_S, timer=clock
         )
         self._sources: TTLCache[bytes, Source] = TTLCache(
-            MOST_KEPT, ttl=KEPT_S, timer=clock
+            MAX_HISTORIES, ttl=RETENTION_S, timer=clock
         )
 
-    def lost(self, request: Loss) -> None:
+    def record_lost(self, request: UnansweredRequest) -> None:
         """Check whether the engine of a request whose connection broke has crashed."""
-        if self._is_to_stay(request.row):
-            eventlet.spawn_n(self._look, request)
+        if self._is_expected_to_run(request.row):
+            eventlet.spawn_n(self._check_engine, request)
 
-    def left(self, request: Loss) -> None:
+    def record_abandoned(self, request: UnansweredRequest) -> None:
         """Wait for the exit of an engine that was running a request when it was abandoned.
 
         Otherwise a request whose callers disconnect before it crashes its engine would
         crash one each time, uncounted.
         """
-        if self._is_to_stay(request.row):
-            self._await(request._replace(is_cut=False))
+        if self._is_expected_to_run(request.row):
+            self._add_pending(request._replace(is_connection_broken=False))
 
-    def _is_to_stay(self, row: EndpointRow) -> bool:
+    def _is_expected_to_run(self, row: EndpointRow) -> bool:
         """Return whether an engine is expected to keep running.
 
         If it is, a request that runs there when it exits may be the cause. A leaving engine
@@ -157,58 +157,60 @@
         """
         return not row.is_leaving and self._endpoints.get(row.id) is not None
 
-    def _look(self, request: Loss) -> None:
-        if self._has_ended(request.row):
-            self._note_end(request)
-            self._note_awaited(request.row)
+    def _check_engine(self, request: UnansweredRequest) -> None:
+        if self._has_exited(request.row):
+            self._record_crash(request)
+            self._record_pending_crashes(request.row)
         else:
-            self._await(request)
+            self._add_pending(request)
 
-    def _await(self, request: Loss) -> None:
-        requests = self._awaited.get(request.row.incarnation) or deque(maxlen=MOST_LOSSES)
+    def _add_pending(self, request: UnansweredRequest) -> None:
+        requests = self._pending.get(request.row.incarnation) or deque(
+            maxlen=MAX_PENDING_REQUESTS
+        )
         requests.append(request)
         # Stored again to restart the expiry time, so that the last request is kept as long
         # as the first.
-        self._awaited[request.row.incarnation] = requests
+        self._pending[request.row.incarnation] = requests
 
-    def ended(self, row: EndpointRow) -> None:
+    def handle_incarnation_end(self, row: EndpointRow) -> None:
         """Record that the platform reports an engine as gone or restarted."""
         if row.is_leaving:
-            self._awaited.pop(row.incarnation, None)
+            self._pending.pop(row.incarnation, None)
         else:
-            self._note_awaited(row)
+            self._record_pending_crashes(row)
 
-    def _note_awaited(self, row: EndpointRow) -> None:
+    def _record_pending_crashes(self, row: EndpointRow) -> None:
         """Record a crash for all requests that were abandoned at an engine lately."""
-        since = self._clock() - AWAITED_S
-        for request in self._awaited.pop(row.incarnation, ()):
-            if request.at >= since:
-                self._note_end(request)
+        since = self._clock() - PENDING_S
+        for request in self._pending.pop(row.incarnation, ()):
+            if request.ended_at >= since:
+                self._record_crash(request)
 
-    def lives(self, row: EndpointRow) -> None:
+    def record_alive(self, row: EndpointRow) -> None:
         """Record a response from an engine: requests lost there before did not crash it.
 
         It may still be running requests that were abandoned a moment ago.
         """
-        requests = self._awaited.pop(row.incarnation, ()) if self._awaited else ()
-        since = self._clock() - AT_WORK_S
+        requests = self._pending.pop(row.incarnation, ()) if self._pending else ()
+        since = self._clock() - CANCEL_DELAY_S
         for request in requests:
-            if not request.is_cut and request.at >= since:
-                self._await(request)
+            if not request.is_connection_broken and request.ended_at >= since:
+                self._add_pending(request)
 
-    def _note_end(self, request: Loss) -> None:
+    def _record_crash(self, request: UnansweredRequest) -> None:
         fingerprint, incarnation = request.fingerprint, request.row.incarnation
-        is_new = self.crashers.note_end(
+        is_new = self.quarantine.record_crash(
             fingerprint,
             incarnation,
-            sent=request.sent,
-            ended=request.at,
-            is_cut=request.is_cut,
+            sent_at=request.sent_at,
+            crashed_at=request.ended_at,
+            is_connection_broken=request.is_connection_broken,
         )
         if not is_new:
             return
-        is_quarantined = self.crashers.is_barred(fingerprint)
-        self.came(fingerprint, Source(request.path, request.organisation))
+        is_quarantined = self.quarantine.is_quarantined(fingerprint)
+        self.record_source(fingerprint, Source(request.path, request.organisation))
         log(
             Event.REQUEST_CRASHED,
             endpoint=request.row.id,
@@ -220,11 +222,11 @@
         if is_quarantined:
             log(Event.REQUEST_BARRED, fingerprint=fingerprint.hex(), path=request.path)
             self._refuse(fingerprint)
-            for delay_s in TELL_AGAIN_S:
-                eventlet.spawn_after(delay_s, self._tell, fingerprint)
-        self._tell(fingerprint)
+            for delay_s in RESEND_DELAYS_S:
+                eventlet.spawn_after(delay_s, self._send_report, fingerprint)
+        self._send_report(fingerprint)
 
-    def _has_ended(self, row: EndpointRow) -> bool:
+    def _has_exited(self, row: EndpointRow) -> bool:
         """Return whether the engine no longer listens at its address.
 
         Without this check a reset of all connections, a truncated response and an invalid
@@ -234,49 +236,51 @@
             # It has restarted: the address belongs to its next incarnation.
             return True
         try:
-            conn = EndpointConnection(row.published.address, self._connect_s)
+            conn = EndpointConnection(row.published.address, self._connect_timeout_s)
         except ConnectError:
             return True
-        eventlet.sleep(CLOSED_S)
+        eventlet.sleep(PROXY_CLOSE_S)
         is_open = conn.is_quiet()
         conn.close()
         return not is_open
 
-    def came(self, fingerprint: bytes, source: Source) -> None:
+    def record_source(self, fingerprint: bytes, source: Source) -> None:
         """Record the source of a request that has crashed engines."""
         self._sources[fingerprint] = source
 
-    def barred(self) -> list[BarredRequest]:
+    def quarantined(self) -> list[QuarantinedRequest]:
         """Return the quarantined requests, the one with the latest crash first."""
         now = self._clock()
         requests = [
-            BarredRequest(
-                fingerprint, self._sources.get(fingerprint, UNSEEN), now - crashed_at
+            QuarantinedRequest(
+                fingerprint,
+                self._sources.get(fingerprint, UNKNOWN_SOURCE),
+                now - crashed_at,
             )
-            for fingerprint, crashed_at in self.crashers.barred().items()
+            for fingerprint, crashed_at in self.quarantine.quarantined().items()
         ]
-        return sorted(requests, key=lambda request: request.ended_s)
+        return sorted(requests, key=lambda request: request.crash_age_s)
 
-    def answered(self, fingerprint: bytes) -> None:
+    def record_completion(self, fingerprint: bytes) -> None:
         """Record that a request completed: it is harmless."""
-        if self.crashers.note_answered(fingerprint):
-            self._tell(fingerprint)
+        if self.quarantine.record_completion(fingerprint):
+            self._send_report(fingerprint)
 
-    def _tell(self, fingerprint: bytes) -> None:
-        reports = self.crashers.tell(fingerprint)
+    def _send_report(self, fingerprint: bytes) -> None:
+        reports = self.quarantine.report(fingerprint)
         if reports:
             self._send_all(CrashUpdate(reports))
 
-    def greeting(self) -> CrashUpdate | None:
+    def startup_report(self) -> CrashUpdate | None:
         """Return the update for an entry that has just started; ``None`` if empty."""
-        reports = self.crashers.tell_held(MOST_GREETED)
+        reports = self.quarantine.report_restricted(MAX_STARTUP_REPORTS)
         return CrashUpdate(reports) if reports else None
 
-    def take(self, reports: list[Suspect]) -> None:
+    def merge(self, reports: list[CrashReport]) -> None:
         """Merge the reports of another entry."""
         for report in reports:
-            if self.crashers.take(report):
+            if self.quarantine.merge(report):
                 log(Event.REQUEST_BARRED, fingerprint=report.fingerprint.hex(), path="")
                 self._refuse(report.fingerprint)
-            if self.crashers.vouch(report.fingerprint):
-                self._tell(report.fingerprint)
+            if self.quarantine.reconfirm_harmless(report.fingerprint):
+                self._send_report(report.fingerprint)
--- a/dockreach/direct/digest.py
+++ b/dockreach/direct/digest.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from .crash_record import Suspect
+from .crash_history import CrashReport
 from .relayed_notice import RelayedNotice
 
 
@@ -60,11 +60,11 @@
     configuration_age_s: float = math.inf
     endpoints_age_s: float = math.inf
     orders_revision: int = 0
-    crash_reports: list[Suspect] = []
+    crash_reports: list[CrashReport] = []
     notices: list[RelayedNotice] = []
 
 
 class CrashUpdate(msgspec.Struct, array_like=True, tag=4):
     """Requests during which engines have just crashed, or that were answered since."""
 
-    crash_reports: list[Suspect]
+    crash_reports: list[CrashReport]
--- a/dockreach/direct/endpoint_sync.py
+++ b/dockreach/direct/endpoint_sync.py
@@ -63,7 +63,7 @@
         if self._ctx.endpoints.remove(endpoint):
             self._ctx.pool.drop(row.published.address)
             log(Event.ENDPOINT_GONE, endpoint=endpoint, under_way=row.in_flight_here)
-            self._ctx.crashes.ended(row)
+            self._ctx.crashes.handle_incarnation_end(row)
 
     def apply_all(self, published: list[Published], *, after_outage: bool = False) -> None:
         """Replace the list of endpoints.
@@ -91,7 +91,7 @@
         Otherwise each of their callers would wait until its deadline or its own timeout.
         """
         log(Event.ENDPOINT_REBORN, endpoint=row.id, under_way=len(row.conns))
-        self._ctx.crashes.ended(row)
+        self._ctx.crashes.handle_incarnation_end(row)
         for conn in list(row.conns):
             conn.abort()
         self._ctx.pool.drop(row.published.address)
--- a/dockreach/direct/entry.py
+++ b/dockreach/direct/entry.py
@@ -19,8 +19,7 @@
 from ..rendezvous import choose
 from .context import Context
 from .coordinator_selection import CoordinatorSelector
-from .crash_reports import CrashReports
-from .crashers import BARRED, Crashers
+from .crash_reporter import CrashReporter
 from .datagrams import Message
 from .dialect import Dialect
 from .digest import Address, CrashUpdate, Digest
@@ -38,9 +37,10 @@
 from .notice_tracker import NoticeTracker
 from .peers import PeerTable
 from .pool import ConnectionPool
+from .quarantine import QUARANTINED_REFUSAL, RequestQuarantine
 from .readers import CONFIGURATION, ENDPOINTS, EVACUATIONS, ReaderSelector
 from .relayed_notice import NoticeUpdate
-from .retrying import RetryBudget
+from .retry_budget import RetryBudget
 from .routing_config import ConfigRevision, Route
 from .scheduling import Scheduler
 from .send_guard import SendGuard
@@ -48,8 +48,8 @@
 from .slot_client import SlotClient
 from .slot_messages import SlotReply, SlotState
 from .slot_server import SlotServer
-from .spending import SpendTable
 from .status_pages import serve_page
+from .token_quota import QuotaTable
 from .view import View
 from .view_sync import KnownRevisions, ViewSync
 
@@ -138,18 +138,18 @@
             dialect=dialect,
             endpoints=self.endpoints,
             scheduler=scheduler,
-            spending=SpendTable(
+            spending=QuotaTable(
                 self.peers,
                 settings.tolerance,
-                started=self.started,
-                has_past=settings.has_past,
+                started_at=self.started,
+                has_predecessor=settings.has_past,
             ),
             retries=RetryBudget(settings.retries),
             pool=ConnectionPool(CONNECT_S),
             metrics=Metrics(settings.name),
             regions=settings.regions,
-            crashes=CrashReports(
-                Crashers(clock.now, self._is_trier),
+            crashes=CrashReporter(
+                RequestQuarantine(clock.now, self._is_trier),
                 self.endpoints,
                 self.gossip.send_all,
                 clock.now,
@@ -219,7 +219,7 @@
     @property
     def _knows_enough(self) -> bool:
         """Whether callers that wait during startup gain nothing from waiting longer."""
-        return self.is_ready and not self.ctx.spending.is_blind(clock.now())
+        return self.is_ready and not self.ctx.spending.is_discovering_peers(clock.now())
 
     # State that the platform publishes.
 
@@ -341,15 +341,15 @@
             revision=self.revision.number if self.revision else 0,
             endpoints_revision=self._fleet_revision,
             in_flight=in_flight,
-            used=self.ctx.spending.tell(now),
-            fleet_used=self.ctx.spending.fleet(now),
+            used=self.ctx.spending.report(now),
+            fleet_used=self.ctx.spending.total_usage(now),
             known_peers=self.peers.addresses_to_share(now - self.started),
             capacity=self.settings.capacity,
             hall=self.settings.hall,
             configuration_age_s=self.feeds.configuration.age_s(now, -math.inf),
             endpoints_age_s=self.feeds.endpoints.age_s(now, -math.inf),
             orders_revision=self.emptied.revision,
-            crash_reports=self.ctx.crashes.crashers.tell_some(),
+            crash_reports=self.ctx.crashes.quarantine.next_reports(),
             notices=self.ctx.notices.next_notices(),
         )
 
@@ -389,7 +389,7 @@
 
     @_on_message.register
     def _(self, update: CrashUpdate) -> None:
-        self.ctx.crashes.take(update.crash_reports)
+        self.ctx.crashes.merge(update.crash_reports)
 
     @_on_message.register
     def _(self, update: NoticeUpdate) -> None:
@@ -402,14 +402,14 @@
         if not change.is_new:
             return
         previous = change.previous
-        self.ctx.crashes.take(digest.crash_reports)
+        self.ctx.crashes.merge(digest.crash_reports)
         self.ctx.notices.merge(digest.notices, digest.name)
         if previous is None or previous.digest.incarnation != digest.incarnation:
             self._greet(digest.address)
         if previous is None:
             log(Event.PEER_UP, peer=digest.name)
         elif previous.digest.incarnation != digest.incarnation:
-            self.ctx.spending.keep_ended([previous])
+            self.ctx.spending.keep_ended_peers([previous])
         # The requests of a silent peer are not counted, so they are not subtracted either.
         was_counted = previous is not None and self.peers.is_fresh(previous, now)
         old = self._counted(previous.digest) if previous is not None and was_counted else {}
@@ -425,11 +425,11 @@
 
     def _refuse_barred(self, fingerprint: bytes) -> None:
         """Refuse at once all waiting copies of a request that was quarantined."""
-        self.ctx.scheduler.refuse(fingerprint, BARRED)
+        self.ctx.scheduler.refuse(fingerprint, QUARANTINED_REFUSAL)
 
     def _greet(self, peer: Address) -> None:
         """Report the requests that must not run to an entry that has just started."""
-        report = self.ctx.crashes.greeting()
+        report = self.ctx.crashes.startup_report()
         if report is not None:
             self.gossip.send(report, peer)
 
@@ -458,7 +458,7 @@
         eventlet.sleep(ROUND_S)
         now = clock.now()
         expired = self.peers.expire(now)
-        self.ctx.spending.keep_ended(expired)
+        self.ctx.spending.keep_ended_peers(expired)
         for row in expired:
             log(Event.PEER_DOWN, peer=row.digest.name)
         self._listing.expire_lapsed(now)
--- a/dockreach/direct/entry_pages.py
+++ b/dockreach/direct/entry_pages.py
@@ -98,8 +98,8 @@
             "revision": entry.revision.number if entry.revision else 0,
             "under_way": sum(row.in_flight_here for row in entry.endpoints),
             "cold_endpoints": sum(entry.guard.is_cold(row, now) for row in entry.endpoints),
-            "suspects": len(entry.ctx.crashes.crashers),
-            "requests_barred": len(entry.ctx.crashes.crashers.barred()),
+            "suspects": len(entry.ctx.crashes.quarantine),
+            "requests_barred": len(entry.ctx.crashes.quarantine.quarantined()),
             "halls_emptied": len(entry.emptied.since),
             "orders_revision": entry.emptied.revision,
             "waiting": sum(entry.dispatcher.waiting().values()),
@@ -156,11 +156,11 @@
 
     def _barred_samples(self) -> Iterator[Sample]:
         """Return which requests are quarantined, and where they come from."""
-        for request in self._entry.ctx.crashes.barred()[:MOST_BARRED_SHOWN]:
+        for request in self._entry.ctx.crashes.quarantined()[:MOST_BARRED_SHOWN]:
             yield Sample(
                 "dockreach_direct_request_barred_seconds",
                 "Seconds since an engine ended last under a request that is not run",
-                request.ended_s,
+                request.crash_age_s,
                 {"fingerprint": request.fingerprint.hex(), **request.source._asdict()},
                 counter=False,
             )
--- a/dockreach/direct/entry_settings.py
+++ b/dockreach/direct/entry_settings.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 
 from .digest import Address
-from .retrying import RetryPolicy
-from .spending import Tolerance
+from .retry_budget import RetryPolicy
+from .token_quota import QuotaTolerance
 from .warm_up import ColdTolerance
 
 
@@ -45,7 +45,7 @@
     has_past: bool
     grace_s: float
     metrics_path: str
-    tolerance: Tolerance
+    tolerance: QuotaTolerance
     retries: RetryPolicy
     in_force_s: float = 2.0
     capacity: float = 1.0
--- a/dockreach/direct/exchange.py
+++ b/dockreach/direct/exchange.py
@@ -8,14 +8,14 @@
 from .call import Call
 from .caller_side import CallerSide
 from .context import Context
-from .crash_reports import Source
-from .crashers import BARRED, DOUBTED, Admission
-from .end_record import EndRecord
+from .crash_reporter import Source
 from .fingerprint import fingerprint_of
 from .forward import Forward
 from .jobs import Job, queue_timeout_s
-from .outcomes import Outcome, judge_answer
+from .outcomes import Outcome, classify_response
 from .pool import idle_share
+from .quarantine import QUARANTINED_REFUSAL, SERIALIZED_REFUSAL, Admission
+from .request_summary import RequestSummary
 from .requests import InboundRequest
 from .routing_config import ConfigRevision, Organisation, Route
 
@@ -88,20 +88,20 @@
         self._call = plan
         if plan.regions is not None and not self._ctx.halls_in(plan.regions):
             return Refusal(Verdict.NOT_RUN, Reason.NO_REGION, "no region may run it")
-        self._ctx.retries.count_request(plan.service, self._ctx.now())
-        admission = self._ctx.crashes.crashers.admit(plan.fingerprint)
-        if admission is Admission.BARRED:
-            self._ctx.crashes.came(
+        self._ctx.retries.record_request(plan.service, self._ctx.now())
+        admission = self._ctx.crashes.quarantine.admit(plan.fingerprint)
+        if admission is Admission.QUARANTINED:
+            self._ctx.crashes.record_source(
                 plan.fingerprint, Source(req.path, plan.organisation_name)
             )
-            return BARRED
-        if admission is Admission.DOUBTED:
-            return DOUBTED
+            return QUARANTINED_REFUSAL
+        if admission is Admission.SERIALIZED:
+            return SERIALIZED_REFUSAL
         refusal = self._over_limit(plan)
         # A refusal is falsy, so that it is never mistaken for a response.
         if refusal is not None:
             return refusal
-        return self._forward(plan, is_trial=admission is Admission.TRIAL)
+        return self._forward(plan, is_trial=admission is Admission.PROBE)
 
     def _declared(self, route: Route, organisation: Organisation | None) -> Call:
         """Return how the request is to be handled under the configuration."""
@@ -138,7 +138,10 @@
         if exceeded is None:
             return None
         return Refusal(
-            Verdict.NOT_RUN, Reason.LIMIT, str(exceeded), retry_after_s=exceeded.wait_s
+            Verdict.NOT_RUN,
+            Reason.LIMIT,
+            str(exceeded),
+            retry_after_s=exceeded.retry_after_s,
         )
 
     def _forward(self, call: Call, *, is_trial: bool) -> Refusal | None:
@@ -202,7 +205,9 @@
         """Classify the complete response by how well it served its caller."""
         if self._call is None or self._forwarded is None:
             return Outcome.FAILED
-        return judge_answer(self._call.route, self._forwarded.progress, self._call.tried_at)
+        return classify_response(
+            self._call.route, self._forwarded.progress, self._call.tried_at
+        )
 
     def _refuse(self, refusal: Refusal) -> None:
         counters = self._ctx.counters
@@ -221,8 +226,8 @@
 
     def _end(self, event: Event, outcome: Outcome, refusal: Refusal | None = None) -> None:
         """Count and log how the request ended."""
-        record = EndRecord(self._ctx, self._req, self._call, self._forwarded)
-        record.write(event, outcome, refusal, revision=self._revision.number)
+        record = RequestSummary(self._ctx, self._req, self._call, self._forwarded)
+        record.emit(event, outcome, refusal, revision=self._revision.number)
 
 
 def _regions(route: Route, organisation: Organisation | None) -> frozenset[str] | None:
--- a/dockreach/direct/forward.py
+++ b/dockreach/direct/forward.py
@@ -14,15 +14,15 @@
 from .attempt import NOTHING_RAN, Attempt, Fate, Placement
 from .caller_side import CallerSide
 from .context import Context
-from .crash_reports import Loss
-from .crashers import BARRED, SOUND_EVENTS, SOUND_RUN_S
+from .crash_reporter import UnansweredRequest
 from .endpoint_connection import EndpointConnection
 from .endpoints import EndpointRow, Pace
 from .event_stream import CONTENT_TYPE, EventSplitter
 from .http1 import AnswerError, ConnectError, RawHead, end_to_end
 from .jobs import Job, queue_timeout_s
-from .outcomes import Progress
+from .outcomes import DeliveryProgress
 from .pool import RESTED_S
+from .quarantine import HARMLESS_EVENTS, HARMLESS_RUN_S, QUARANTINED_REFUSAL
 from .requests import AnswerHead, InboundRequest, Standing
 from .routing_config import RetryMode
 from .slot_messages import SampleKind
@@ -108,7 +108,7 @@
         self._last_event = req.last_event_id
         self._last_answer: tuple[RawHead, bytes] | None = None
         self.attempts: list[Attempt] = []
-        self.progress = Progress()
+        self.progress = DeliveryProgress()
         self.placement: Placement | None = None
         self._began: float | None = None
         self._events = 0
@@ -143,7 +143,7 @@
                 # Engines crashed under it at other entries while it waited, or under its
                 # previous attempt.
                 self._ctx.scheduler.release_slot(job)
-                return self._final(BARRED)
+                return self._final(QUARANTINED_REFUSAL)
             self.placement = self._note_place(found)
             may_have_run_before = self.may_have_run
             try:
@@ -156,7 +156,7 @@
             job.tried_endpoints.add(found.id)
             if attempt.fate is Fate.DELIVERED:
                 if not self.progress.is_failure:
-                    self._ctx.crashes.answered(self._fingerprint)
+                    self._ctx.crashes.record_completion(self._fingerprint)
                 return None
             self._log_attempt(attempt)
             if attempt.fate is Fate.NOT_SENT:
@@ -291,7 +291,7 @@
     def _is_barred(self) -> bool:
         if self._is_trial and not self.attempts:
             return False
-        return self._ctx.crashes.crashers.is_barred(self._fingerprint)
+        return self._ctx.crashes.quarantine.is_quarantined(self._fingerprint)
 
     def _suspect(self, row: EndpointRow, sent_at: float, *, is_cut: bool) -> None:
         """Have it checked whether the engine crashed under the current attempt.
@@ -305,16 +305,16 @@
         """
         now = self._ctx.now()
         ran_s = now - self._began if self._began is not None else 0.0
-        if self._events >= SOUND_EVENTS or ran_s >= SOUND_RUN_S:
+        if self._events >= HARMLESS_EVENTS or ran_s >= HARMLESS_RUN_S:
             return
         crashes = self._ctx.crashes
-        unanswered = Loss(
+        unanswered = UnansweredRequest(
             self._req.path, self._fingerprint, self._organisation, row, sent_at, now
         )
         if is_cut:
-            crashes.lost(unanswered)
+            crashes.record_lost(unanswered)
         else:
-            crashes.left(unanswered)
+            crashes.record_abandoned(unanswered)
 
     @property
     def _has_another_attempt(self) -> bool:
@@ -369,7 +369,7 @@
             return Attempt(Fate.FAILED, row.id, f"status {head.status} on resuming")
         now = self._ctx.now()
         row.record_measurement(SampleKind.PLAIN, now - sent_at)
-        self.progress.count(0, now)
+        self.progress.record(0, now)
         self.progress.is_failure = head.status >= LEAST_FAILURE
         self._caller.send_whole(raw, body)
         return Attempt(Fate.DELIVERED, row.id)
@@ -406,7 +406,7 @@
                 timeout_s = self._gap_limit_s()
             pace.count(len(events), now)
             self._events += len(events)
-            self.progress.count(len(events), now)
+            self.progress.record(len(events), now)
             self._start_stream(head)
             for event in events:
                 self._last_event = event.id or self._last_event
@@ -420,7 +420,7 @@
 
     def _note_success(self, row: EndpointRow, now: float) -> None:
         row.record_success(now)
-        self._ctx.crashes.lives(row)
+        self._ctx.crashes.record_alive(row)
 
     def _start_stream(self, head: RawHead) -> None:
         """Send the head before the first event; a resumed stream keeps its first head."""
--- a/dockreach/direct/outcomes.py
+++ b/dockreach/direct/outcomes.py
@@ -10,11 +10,11 @@
 from ..metrics import Sample
 from .routing_config import Route
 
-TRIES = "dockreach_direct_tries_total"
-_TRIES_HELP = "Tries of callers by how they ended"
+ATTEMPTS_METRIC = "dockreach_direct_tries_total"
+_ATTEMPTS_HELP = "Tries of callers by how they ended"
 
-HELD = "dockreach_direct_unserved_held_objectives_total"
-_HELD_HELP = "Time that tries were held which were not served, in objectives"
+UNSERVED_TIME_METRIC = "dockreach_direct_unserved_held_objectives_total"
+_UNSERVED_TIME_HELP = "Time that tries were held which were not served, in objectives"
 
 _YES = "yes"
 
@@ -50,7 +50,7 @@
 SERVED = frozenset((Outcome.IN_TIME, Outcome.LATE_FIRST, Outcome.LATE_GAP))
 
 
-class Progress:
+class DeliveryProgress:
     """What part of a response the caller has received so far.
 
     Attributes:
@@ -69,7 +69,7 @@
         self.is_failure = False
         self._last_at = 0.0
 
-    def count(self, events: int, now: float) -> None:
+    def record(self, events: int, now: float) -> None:
         """Record that events, or a plain response, were just passed on."""
         if self.first_at is None:
             self.first_at = now
@@ -79,7 +79,9 @@
         self.events += events
 
 
-def judge_answer(route: Route, progress: Progress, first_attempt_at: float) -> Outcome:
+def classify_response(
+    route: Route, progress: DeliveryProgress, first_attempt_at: float
+) -> Outcome:
     """Return how well a complete response served its caller.
 
     Args:
@@ -97,20 +99,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ending:
+class OutcomeKey:
     """Key under which attempts are counted together.
 
     Attributes:
         tier: The route's tier; 0 is the highest.
         reason: Why the attempt was not served; empty if it was.
-        returned: Whether the caller had tried before.
+        is_retry: Whether the caller had tried before.
     """
 
     route: str
     tier: int
     outcome: Outcome
     reason: str
-    returned: bool
+    is_retry: bool
 
     def labels(self) -> dict[str, str]:
         """Return the labels of its counters on the metrics page."""
@@ -119,11 +121,11 @@
             "tier": str(self.tier),
             "outcome": self.outcome.value,
             "reason": self.reason,
-            "returned": _YES if self.returned else "no",
+            "returned": _YES if self.is_retry else "no",
         }
 
     @classmethod
-    def from_labels(cls, labels: Mapping[str, str]) -> Ending:
+    def from_labels(cls, labels: Mapping[str, str]) -> OutcomeKey:
         """Return the key that labels of a metrics page describe.
 
         Raises:
@@ -135,18 +137,18 @@
             tier=int(labels["tier"]),
             outcome=Outcome(labels["outcome"]),
             reason=labels["reason"],
-            returned=labels["returned"] == _YES,
+            is_retry=labels["returned"] == _YES,
         )
 
 
-class Tally:
+class OutcomeCounter:
     """Counts all attempts of callers by how they ended, without sampling."""
 
     def __init__(self) -> None:
-        self.tries: Counter[Ending] = Counter()
-        self._held: dict[Ending, float] = {}
+        self.counts: Counter[OutcomeKey] = Counter()
+        self._unserved_objectives: dict[OutcomeKey, float] = {}
 
-    def add(self, key: Ending, objectives: float) -> None:
+    def record(self, key: OutcomeKey, objectives: float) -> None:
         """Count one attempt.
 
         Args:
@@ -154,13 +156,17 @@
             objectives: How long the caller waited, in multiples of the route's objective;
                 counts only if the attempt was not served.
         """
-        self.tries[key] += 1
+        self.counts[key] += 1
         if key.outcome not in SERVED:
-            self._held[key] = self._held.get(key, 0.0) + objectives
+            self._unserved_objectives[key] = (
+                self._unserved_objectives.get(key, 0.0) + objectives
+            )
 
     def samples(self) -> Iterator[Sample]:
         """Yield the counters for the metrics page."""
-        for key, count in self.tries.items():
-            yield Sample(TRIES, _TRIES_HELP, count, key.labels())
-        for key, objectives in self._held.items():
-            yield Sample(HELD, _HELD_HELP, objectives, key.labels())
+        for key, count in self.counts.items():
+            yield Sample(ATTEMPTS_METRIC, _ATTEMPTS_HELP, count, key.labels())
+        for key, objectives in self._unserved_objectives.items():
+            yield Sample(
+                UNSERVED_TIME_METRIC, _UNSERVED_TIME_HELP, objectives, key.labels()
+            )
--- a/dockreach/direct/crashers.py
+++ b/dockreach/direct/quarantine.py
@@ -15,10 +15,10 @@
 from cachetools import TLRUCache, TTLCache
 
 from ..verdict import Reason, Refusal, Verdict
-from .crash_record import Record, Run, Suspect, ToldEnd
+from .crash_history import CrashedRun, CrashHistory, CrashReport, ReportedCrash
 from .round_robin import RoundRobin
 
-MOST_RUNS = 2
+MAX_RUNS = 2
 """Crashed runs after which a request is quarantined; overlapping runs count as one. In a
 simulation with one crashing request every 1.1 s beside a harmless load on six engines (200
 simulated days of 200 s, no probes), a limit of two cut off 6.7 harmless attempts a day and
@@ -33,298 +33,319 @@
 reason. Engines that crashed while they ran a request took 0.066 s or longer. A request that
 crashes its engines at once costs two more engines because of this rule."""
 
-TRIAL_S = 60.0
+PROBE_DELAY_S = 60.0
 """Time after the last crash at which one entry runs a quarantined request again as a probe,
 in seconds: a harmless request that is sent all the time may be in flight at two crashes by
 chance, and would otherwise be refused for good."""
 
-TRIAL_FACTOR = 4.0
+PROBE_BACKOFF_FACTOR = 4.0
 """Factor by which the delay grows after each probe that crashed an engine."""
 
-MOST_TRIALS = 3
+MAX_PROBES = 3
 """Maximum number of probes that may crash an engine, over all entries; fewer where more
 runs than usual were needed to quarantine the request."""
 
-MOST_LATE_RUNS = 3
+MAX_LATE_RUNS = 3
 """Maximum number of runs that may be sent after the third engine crashed, over all entries
 and for as long as the request keeps arriving: each may cost the callers of one more engine
 their responses."""
 
-SOUND_EVENTS = 5
+HARMLESS_EVENTS = 5
 """A stream that had produced this many events when its engine crashed is not suspected: a
 request that crashes an engine does so during prefill or at its first tokens. Where engines
 exit every 4 s for other reasons, 0.04 harmless attempts a day were refused; with all
 streams younger than 1 s suspected it was 3.06 (200 simulated days of 200 s)."""
 
-SOUND_RUN_S = 1.0
+HARMLESS_RUN_S = 1.0
 """A stream that has produced events for longer is not suspected either, in seconds: a slow
 engine produces few."""
 
-SOUND_S = 5.0
+HARMLESS_TTL_S = 5.0
 """How long a completed request is not suspected at this entry, in seconds: a request that
 is sent all the time is in flight at most crashes."""
 
-KEPT_S = 600.0
+RETENTION_S = 600.0
 """How long a request is remembered after it last arrived, in seconds. While it keeps
 arriving it stays quarantined; an engine that is replaced by a healthy version receives it
 ten minutes after the last arrival."""
 
-MOST_KEPT = 256
+MAX_HISTORIES = 256
 """Maximum number of requests with a crash history, some 0.2 MB; the least recently seen
 ones are dropped. Searching them for a digest, at most twenty times a second, takes 0.7 ms
 where each has one crash, and 3.2 and 5.1 ms with two and four (best of five runs)."""
 
-MOST_ANSWERED = 1024
+MAX_COMPLETED = 1024
 """Maximum number of completed requests that are remembered, some 0.3 MB: 200 a second at
 one entry."""
 
-MOST_LIVES = 1024
+MAX_CRASHED_INCARNATIONS = 1024
 """Maximum number of crashed incarnations whose crash time is remembered, for as long as
 peers may still report them."""
 
-SPREAD_S = 10.0
+GOSSIP_S = 10.0
 """How long a change is included in digests to peers, in seconds: an entry that was cut off
 or paused is reachable again within this time."""
 
-MOST_TOLD = 4
+MAX_REPORTS_PER_DIGEST = 4
 """Maximum number of requests in one digest, some 90 bytes each. All are sent in turn."""
 
 
-DOUBT_S = 2.0
+COPY_GAP_S = 2.0
 """Interval between two runs of a request during whose overlapping runs three engines
 crashed, in seconds: within it either one more engine crashes or a response clears the
 request. Without it 11 of 160 simulations with four entries sent more than three runs after
 the third crash, up to eleven."""
 
-BARRED = Refusal(Verdict.NOT_RUN, Reason.CRASHES_ENGINES, retry_after_s=KEPT_S)
+QUARANTINED_REFUSAL = Refusal(
+    Verdict.NOT_RUN, Reason.CRASHES_ENGINES, retry_after_s=RETENTION_S
+)
 """Refusal of a quarantined request, however often it arrives."""
 
-DOUBTED = Refusal(Verdict.NOT_RUN, Reason.CRASHES_ENGINES, retry_after_s=DOUBT_S)
+SERIALIZED_REFUSAL = Refusal(
+    Verdict.NOT_RUN, Reason.CRASHES_ENGINES, retry_after_s=COPY_GAP_S
+)
 """Refusal of a request while another copy of it shows whether it crashes engines."""
 
 
 class Admission(enum.Enum):
     """Whether a request that has arrived may run."""
 
-    FREE = enum.auto()
+    ALLOWED = enum.auto()
     """It may run."""
 
-    TRIAL = enum.auto()
+    PROBE = enum.auto()
     """It may run once, at this entry only, as a half-open probe: a response ends its
     quarantine."""
 
-    DOUBTED = enum.auto()
+    SERIALIZED = enum.auto()
     """It may not run now: one copy of it runs at a time."""
 
-    BARRED = enum.auto()
+    QUARANTINED = enum.auto()
     """It is quarantined."""
 
 
-def _forget_at(_: bytes, history: Record, now: float) -> float:
+def _expires_at(_: bytes, history: CrashHistory, now: float) -> float:
     """Return the time at which a crash history is dropped."""
-    return min(history.came, now) + KEPT_S
+    return min(history.last_seen_at, now) + RETENTION_S
 
 
-class Crashers:
+class RequestQuarantine:
     """Decides which requests are quarantined because they crash engines.
 
     Args:
         clock: Returns the monotonic time, in seconds.
-        is_trier: Returns whether this entry is the one that probes a quarantined request.
-        most_runs: Number of crashed runs after which a request is quarantined.
+        is_probe_owner: Returns whether this entry is the one that probes a quarantined request.
+        max_runs: Number of crashed runs after which a request is quarantined.
     """
 
     def __init__(
         self,
         clock: Callable[[], float],
-        is_trier: Callable[[bytes], bool],
+        is_probe_owner: Callable[[bytes], bool],
         *,
-        most_runs: int = MOST_RUNS,
+        max_runs: int = MAX_RUNS,
     ) -> None:
         self._clock = clock
-        self._is_trier = is_trier
-        self._most_runs = most_runs
-        self._records: TLRUCache[bytes, Record] = TLRUCache(
-            MOST_KEPT, ttu=_forget_at, timer=clock
+        self._is_probe_owner = is_probe_owner
+        self._max_runs = max_runs
+        self._histories: TLRUCache[bytes, CrashHistory] = TLRUCache(
+            MAX_HISTORIES, ttu=_expires_at, timer=clock
         )
-        self._answered: TTLCache[bytes, bool] = TTLCache(
-            MOST_ANSWERED, ttl=SOUND_S, timer=clock
+        self._completed: TTLCache[bytes, bool] = TTLCache(
+            MAX_COMPLETED, ttl=HARMLESS_TTL_S, timer=clock
         )
-        self._ended: TTLCache[str, float] = TTLCache(MOST_LIVES, ttl=KEPT_S, timer=clock)
-        self._turns = RoundRobin()
+        self._crashed_at: TTLCache[str, float] = TTLCache(
+            MAX_CRASHED_INCARNATIONS, ttl=RETENTION_S, timer=clock
+        )
+        self._round_robin = RoundRobin()
 
     def __len__(self) -> int:
-        return len(self._records)
+        return len(self._histories)
 
-    def _bars(self, history: Record) -> bool:
-        if len(history.ends) < self._most_runs:
+    def _meets_threshold(self, history: CrashHistory) -> bool:
+        if len(history.crashes) < self._max_runs:
             return False
-        return history.signs(self._ended) >= self._most_runs
+        return history.evidence(self._crashed_at) >= self._max_runs
 
-    def barred(self) -> dict[bytes, float]:
+    def quarantined(self) -> dict[bytes, float]:
         """Return quarantined requests with the monotonic time of the last crash of each."""
         return {
-            fingerprint: max(run.ended for run in history.ends.values())
-            for fingerprint, history in self._records.items()
-            if self._bars(history)
+            fingerprint: max(run.crashed_at for run in history.crashes.values())
+            for fingerprint, history in self._histories.items()
+            if self._meets_threshold(history)
         }
 
     def admit(self, fingerprint: bytes) -> Admission:
         """Decide on a request that has arrived."""
-        history = self._records.get(fingerprint)
+        history = self._histories.get(fingerprint)
         if history is None:
-            return Admission.FREE
+            return Admission.ALLOWED
         now = self._clock()
-        history.came = now
-        self._records[fingerprint] = history
-        is_quarantined = self._bars(history)
-        if not is_quarantined and not history.is_doubted(self._ended):
-            return Admission.FREE
-        due = self._trial_at(history) if is_quarantined else history.tried + DOUBT_S
-        if now < due or not self._is_trier(fingerprint):
-            return Admission.BARRED if is_quarantined else Admission.DOUBTED
-        history.tried = now
-        return Admission.TRIAL if is_quarantined else Admission.FREE
-
-    def _trial_at(self, history: Record) -> float:
+        history.last_seen_at = now
+        self._histories[fingerprint] = history
+        is_quarantined = self._meets_threshold(history)
+        if not is_quarantined and not history.is_serialized(self._crashed_at):
+            return Admission.ALLOWED
+        due = self._probe_at(history) if is_quarantined else history.probed_at + COPY_GAP_S
+        if now < due or not self._is_probe_owner(fingerprint):
+            return Admission.QUARANTINED if is_quarantined else Admission.SERIALIZED
+        history.probed_at = now
+        return Admission.PROBE if is_quarantined else Admission.ALLOWED
+
+    def _probe_at(self, history: CrashHistory) -> float:
         """Return when a quarantined request may be probed, in seconds."""
-        if history.late_runs(self._ended) >= MOST_LATE_RUNS:
+        if history.late_runs(self._crashed_at) >= MAX_LATE_RUNS:
             return math.inf
         # Counts runs and not evidence: if the request crashes engines at once, each probe
         # is only half a crash.
-        if len(history.runs(self._ended)) >= self._most_runs + MOST_TRIALS:
+        if len(history.sequential_runs(self._crashed_at)) >= self._max_runs + MAX_PROBES:
             return math.inf
-        failed = math.floor(history.signs(self._ended) - self._most_runs)
-        last = max(history.tried, *(run.ended for run in history.ends.values()))
-        return last + TRIAL_S * TRIAL_FACTOR**failed
+        failed = math.floor(history.evidence(self._crashed_at) - self._max_runs)
+        last = max(history.probed_at, *(run.crashed_at for run in history.crashes.values()))
+        return last + PROBE_DELAY_S * PROBE_BACKOFF_FACTOR**failed
 
-    def is_barred(self, fingerprint: bytes) -> bool:
+    def is_quarantined(self, fingerprint: bytes) -> bool:
         """Return whether a request is quarantined."""
-        history = self._records.get(fingerprint)
-        return history is not None and self._bars(history)
+        history = self._histories.get(fingerprint)
+        return history is not None and self._meets_threshold(history)
 
-    def note_end(
+    def record_crash(
         self,
         fingerprint: bytes,
-        life: str,
+        incarnation: str,
         *,
-        sent: float,
-        ended: float,
-        is_cut: bool = True,
+        sent_at: float,
+        crashed_at: float,
+        is_connection_broken: bool = True,
     ) -> bool:
         """Record a crash of an engine during a request; return whether to report it.
 
         Args:
             fingerprint: Of the request.
-            life: Incarnation of the engine; it counts once.
-            sent: Monotonic time at which the request was sent to the engine, in seconds.
-            ended: Monotonic time of the crash, in seconds.
-            is_cut: Whether the connection broke at that time; otherwise the caller left or
+            incarnation: Incarnation of the engine; it counts once.
+            sent_at: Monotonic time at which the request was sent to the engine, in seconds.
+            crashed_at: Monotonic time of the crash, in seconds.
+            is_connection_broken: Whether the connection broke at that time; otherwise the caller left or
                 the deadline passed, while the engine was running the request.
         """
-        if fingerprint in self._answered:
+        if fingerprint in self._completed:
             # This crash is not reported to peers, so it must not change anything here
             # either: all entries have to reach the same decision.
             return False
-        self._note_life(life, ended)
-        run = Run(life, sent, ended, is_sudden=is_cut and ended - sent < SUDDEN_S)
-        return self._change(
-            fingerprint, ended, lambda history: history.add(run, self._ended)
+        self._record_crash_time(incarnation, crashed_at)
+        run = CrashedRun(
+            incarnation,
+            sent_at,
+            crashed_at,
+            is_sudden=is_connection_broken and crashed_at - sent_at < SUDDEN_S,
+        )
+        return self._update(
+            fingerprint, crashed_at, lambda history: history.add(run, self._crashed_at)
         )
 
-    def note_answered(self, fingerprint: bytes) -> bool:
+    def record_completion(self, fingerprint: bytes) -> bool:
         """Record that a request completed; return whether to report that to peers."""
-        self._answered[fingerprint] = True
-        return self.vouch(fingerprint)
+        self._completed[fingerprint] = True
+        return self.reconfirm_harmless(fingerprint)
 
-    def vouch(self, fingerprint: bytes) -> bool:
+    def reconfirm_harmless(self, fingerprint: bytes) -> bool:
         """Clear a request that completed here lately; return whether to report that.
 
         It may have completed before this entry received the reports of the crashes.
         """
-        history = self._records.get(fingerprint)
-        if history is None or fingerprint not in self._answered:
+        history = self._histories.get(fingerprint)
+        if history is None or fingerprint not in self._completed:
             return False
-        if not history.clear(history.ends):
+        if not history.clear(history.crashes):
             return False
-        history.changed = self._clock()
+        history.changed_at = self._clock()
         return True
 
-    def take(self, report: Suspect) -> bool:
+    def merge(self, report: CrashReport) -> bool:
         """Merge a peer's report; return whether it makes the request quarantined."""
         now = self._clock()
-        previous = self._records.get(report.fingerprint)
-        was_quarantined = previous is not None and self._bars(previous)
+        previous = self._histories.get(report.fingerprint)
+        was_quarantined = previous is not None and self._meets_threshold(previous)
 
-        def change(history: Record) -> bool:
+        def change(history: CrashHistory) -> bool:
             changes = [
-                history.add(Run.told(crash, now), self._ended) for crash in report.ends
+                history.add(CrashedRun.from_report(crash, now), self._crashed_at)
+                for crash in report.crashes
             ]
             changes.append(history.clear(report.cleared))
             return any(changes)
 
-        for crash in report.ends:
-            self._note_life(crash.life, now - crash.ended_s)
-        self._change(report.fingerprint, now - report.came_s, change)
-        history = self._records.get(report.fingerprint)
-        if history is None or report.fingerprint in self._answered:
+        for crash in report.crashes:
+            self._record_crash_time(crash.incarnation, now - crash.crash_age_s)
+        self._update(report.fingerprint, now - report.last_seen_age_s, change)
+        history = self._histories.get(report.fingerprint)
+        if history is None or report.fingerprint in self._completed:
             return False
-        return self._bars(history) and not was_quarantined
+        return self._meets_threshold(history) and not was_quarantined
 
-    def _note_life(self, incarnation: str, crashed_at: float) -> None:
+    def _record_crash_time(self, incarnation: str, crashed_at: float) -> None:
         """Keep the earliest known time of an engine's crash."""
-        self._ended[incarnation] = min(crashed_at, self._ended.get(incarnation, crashed_at))
+        self._crashed_at[incarnation] = min(
+            crashed_at, self._crashed_at.get(incarnation, crashed_at)
+        )
 
-    def _change(
-        self, fingerprint: bytes, seen_at: float, change: Callable[[Record], bool]
+    def _update(
+        self, fingerprint: bytes, seen_at: float, change: Callable[[CrashHistory], bool]
     ) -> bool:
         now = self._clock()
-        history = self._records.get(fingerprint) or Record(seen_at, now)
+        history = self._histories.get(fingerprint) or CrashHistory(seen_at, now)
         is_new = change(history)
         if is_new:
-            history.changed = now
-        history.came = max(history.came, seen_at)
-        self._records[fingerprint] = history
+            history.changed_at = now
+        history.last_seen_at = max(history.last_seen_at, seen_at)
+        self._histories[fingerprint] = history
         return is_new
 
-    def tell(self, fingerprint: bytes) -> list[Suspect]:
+    def report(self, fingerprint: bytes) -> list[CrashReport]:
         """Return the report on one request for peers; empty if nothing is known."""
-        history = self._records.get(fingerprint)
-        return [] if history is None else [self._told(fingerprint, history)]
+        history = self._histories.get(fingerprint)
+        return [] if history is None else [self._to_report(fingerprint, history)]
 
-    def tell_held(self, max_reports: int) -> list[Suspect]:
+    def report_restricted(self, max_reports: int) -> list[CrashReport]:
         """Return reports on quarantined and serialized requests, for an entry just started.
 
         Args:
             max_reports: Maximum number of reports.
         """
-        restricted = [item for item in self._records.items() if self._holds(item[1])]
-        return [self._told(*item) for item in restricted[-max_reports:]]
+        restricted = [
+            item for item in self._histories.items() if self._is_restricted(item[1])
+        ]
+        return [self._to_report(*item) for item in restricted[-max_reports:]]
 
-    def _holds(self, history: Record) -> bool:
+    def _is_restricted(self, history: CrashHistory) -> bool:
         """Return whether a request is quarantined or serialized."""
-        return self._bars(history) or history.is_doubted(self._ended)
+        return self._meets_threshold(history) or history.is_serialized(self._crashed_at)
 
-    def tell_some(self) -> list[Suspect]:
+    def next_reports(self) -> list[CrashReport]:
         """Return the next reports for a digest: of restricted or changed requests."""
-        if not self._records:
+        if not self._histories:
             return []
         now = self._clock()
         due = [
             (fingerprint, history)
-            for fingerprint, history in self._records.items()
-            if now - history.changed < SPREAD_S or self._holds(history)
+            for fingerprint, history in self._histories.items()
+            if now - history.changed_at < GOSSIP_S or self._is_restricted(history)
+        ]
+        return [
+            self._to_report(*item)
+            for item in self._round_robin.next_items(due, MAX_REPORTS_PER_DIGEST)
         ]
-        return [self._told(*item) for item in self._turns.next_items(due, MOST_TOLD)]
 
-    def _told(self, fingerprint: bytes, history: Record) -> Suspect:
+    def _to_report(self, fingerprint: bytes, history: CrashHistory) -> CrashReport:
         now = self._clock()
-        return Suspect(
+        return CrashReport(
             fingerprint,
             [
-                ToldEnd(run.life, now - run.sent, now - run.ended, run.is_sudden)
-                for run in history.ends.values()
+                ReportedCrash(
+                    run.incarnation, now - run.sent_at, now - run.crashed_at, run.is_sudden
+                )
+                for run in history.crashes.values()
             ],
             sorted(history.cleared),
-            now - history.came,
+            now - history.last_seen_at,
         )
--- a/dockreach/direct/end_record.py
+++ b/dockreach/direct/request_summary.py
@@ -10,42 +10,42 @@
 from .call import Call
 from .context import Context
 from .forward import Forward
-from .outcomes import Ending, Outcome, Progress
+from .outcomes import DeliveryProgress, Outcome, OutcomeKey
 from .requests import InboundRequest
 
 
-class EndRecord:
+class RequestSummary:
     """What is known about a request that has ended.
 
     Args:
         ctx: State shared by all requests of the entry.
         req: The request.
-        call: What the configuration prescribes for it; ``None`` without a route or key.
-        forwarded: Its upstream attempts; ``None`` if there were none.
+        plan: What the configuration prescribes for it; ``None`` without a route or key.
+        forwarder: Its upstream attempts; ``None`` if there were none.
     """
 
     def __init__(
         self,
         ctx: Context,
         req: InboundRequest,
-        call: Call | None,
-        forwarded: Forward | None,
+        plan: Call | None,
+        forwarder: Forward | None,
     ) -> None:
         self._ctx = ctx
         self._req = req
-        self._call = call
-        self._forwarded = forwarded
-        self._progress = forwarded.progress if forwarded else Progress()
+        self._plan = plan
+        self._forwarder = forwarder
+        self._progress = forwarder.progress if forwarder else DeliveryProgress()
 
-    def write(
+    def emit(
         self, event: Event, outcome: Outcome, refusal: Refusal | None, *, revision: int
     ) -> None:
         """Count and log the outcome of the request."""
         reason = refusal.reason.value if refusal is not None else ""
         duration_s = self._ctx.now() - self._req.arrived
-        if self._call is not None:
-            self._count(self._call, outcome, reason, duration_s)
-            self._observe_first(self._call)
+        if self._plan is not None:
+            self._count_outcome(self._plan, outcome, reason, duration_s)
+            self._observe_first_event(self._plan)
         log(
             event,
             rid=self._req.rid,
@@ -55,22 +55,24 @@
             detail=refusal.detail if refusal is not None else "",
             held_ms=round(duration_s * 1000),
             peers=self._ctx.entries - 1,
-            **self._call_fields(),
-            **self._forward_fields(),
+            **self._plan_fields(),
+            **self._placement_fields(),
         )
 
-    def _count(self, plan: Call, outcome: Outcome, reason: str, duration_s: float) -> None:
-        key = Ending(
+    def _count_outcome(
+        self, plan: Call, outcome: Outcome, reason: str, duration_s: float
+    ) -> None:
+        key = OutcomeKey(
             route=plan.route.name,
             tier=plan.route.tier,
             outcome=outcome,
             reason=reason,
-            returned=plan.tried_at < self._req.arrived,
+            is_retry=plan.tried_at < self._req.arrived,
         )
         objective_s = plan.route.objective_s
-        self._ctx.tally.add(key, duration_s / objective_s if objective_s else 0.0)
+        self._ctx.tally.record(key, duration_s / objective_s if objective_s else 0.0)
 
-    def _observe_first(self, plan: Call) -> None:
+    def _observe_first_event(self, plan: Call) -> None:
         """Observe the time from the caller's first attempt to the first event."""
         if self._progress.first_at is not None:
             self._ctx.metrics.observe(
@@ -80,9 +82,9 @@
                 {"route": plan.route.name, "tier": str(plan.route.tier)},
             )
 
-    def _call_fields(self) -> dict[str, Any]:
+    def _plan_fields(self) -> dict[str, Any]:
         """Return the log fields for what the configuration prescribes."""
-        plan = self._call
+        plan = self._plan
         if plan is None:
             return {"route": "none", "organisation": "", "fingerprint": ""}
         return {
@@ -94,9 +96,9 @@
             "tried_ms": round((self._req.arrived - plan.tried_at) * 1000),
         }
 
-    def _forward_fields(self) -> dict[str, Any]:
+    def _placement_fields(self) -> dict[str, Any]:
         """Return the log fields for the response and the last placement."""
-        forwarder = self._forwarded
+        forwarder = self._forwarder
         placement = (forwarder and forwarder.placement) or NOWHERE
         first_s = (self._progress.first_at or self._req.arrived) - self._req.arrived
         return {
--- a/dockreach/direct/retrying.py
+++ b/dockreach/direct/retry_budget.py
@@ -5,7 +5,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-RESERVE = 0.7
+USABLE_FRACTION = 0.7
 """Fraction of the budget that is used; the rest covers retries of peers that
 this entry does not know yet."""
 
@@ -35,13 +35,13 @@
     def __init__(self, policy: RetryPolicy) -> None:
         self.policy = policy
         self._requests: dict[str, deque[float]] = {}
-        self._repeats: dict[str, deque[float]] = {}
+        self._retries: dict[str, deque[float]] = {}
 
-    def count_request(self, service: str, now: float) -> None:
+    def record_request(self, service: str, now: float) -> None:
         """Count a request that a caller sent for a service."""
-        self._window(self._requests, service, now).append(now)
+        self._times_in_window(self._requests, service, now).append(now)
 
-    def take(self, service: str, entries: int, now: float) -> bool:
+    def try_acquire(self, service: str, entries: int, now: float) -> bool:
         """Take one repeat from the budget; return whether there was one left.
 
         Args:
@@ -49,15 +49,15 @@
             entries: Entries that may be alive, this one included.
             now: Monotonic time, in seconds.
         """
-        requests = self._window(self._requests, service, now)
-        retries = self._window(self._repeats, service, now)
+        requests = self._times_in_window(self._requests, service, now)
+        retries = self._times_in_window(self._retries, service, now)
         allowed = self.policy.ratio * len(requests) + self.policy.burst / max(entries, 1)
-        if len(retries) + 1 > RESERVE * allowed:
+        if len(retries) + 1 > USABLE_FRACTION * allowed:
             return False
         retries.append(now)
         return True
 
-    def _window(
+    def _times_in_window(
         self, times_by_service: dict[str, deque[float]], service: str, now: float
     ) -> deque[float]:
         times = times_by_service.setdefault(service, deque())
--- a/dockreach/direct/spending.py
+++ b/dockreach/direct/token_quota.py
@@ -17,107 +17,107 @@
 from .peers import PeerRow, PeerTable
 from .routing_config import Organisation
 
-AIM = 1.15
+ADMIT_FACTOR = 1.15
 """Multiple of the quota of a window up to which requests are admitted while all peers are
 reachable. A request counts with the maximum number of tokens it may generate, which is more
 than it does generate: at 1.03 a seventh of the chats of a quiet day were refused. The more
 is admitted, the less is left after all entries lost their state: at 1.25 a twentieth of a
 window."""
 
-SAFE = 0.95
+HARD_LIMIT_FRACTION = 0.95
 """Fraction of the platform's tolerance that is ever used; the rest covers what peers use
 between two digests."""
 
-LOWER_TIER = 0.04
+TIER_RESERVE_FRACTION = 0.04
 """Fraction of each limit that a tier leaves to each higher one, so that an organisation
 near its quota loses its chats first."""
 
-MOST_TIERS = 3
+MAX_TIERS = 3
 """Number of tiers that `TIER_RESERVE_FRACTION` distinguishes; the users have three."""
 
-AT_ONCE = 0.3
+BURST_FRACTION = 0.3
 """Fraction of a window's tokens that may be used at once; the rest is admitted evenly over
 the window. This bounds what entries that all lost their state may have admitted just
 before, and refuses nothing to an organisation below four times its rate."""
 
-SOONEST_S = 0.25
+MIN_RETRY_AFTER_S = 0.25
 """Minimum time after which a caller over its quota is asked to retry, in seconds."""
 
-FIND_S = 0.15
+DISCOVERY_S = 0.15
 """How long an entry without state waits for the first digests of the peers it knows by
 address, in seconds: they start within some 0.05 s of it and send two digests in this time.
 Without the wait 12 and more entries do not know yet how many share a quota, and admitted up
 to 1.28 times the hard limit (simulation, 10 times the quota requested)."""
 
-STEP_S = 0.5
+BUCKET_S = 0.5
 """Length of the time buckets in which usage is counted, in seconds. The current bucket
 comes on top of a whole window, so that up to one bucket more than the window is counted."""
 
 
 @dataclass(frozen=True, slots=True)
-class Tolerance:
+class QuotaTolerance:
     """How far a quota may be exceeded.
 
     Attributes:
         window_s: Length of the sliding window, in seconds.
-        over: Fraction of the quota by which it may be exceeded.
-        slack: Tokens by which it may be exceeded in addition.
+        excess_fraction: Fraction of the quota by which it may be exceeded.
+        slack_tokens: Tokens by which it may be exceeded in addition.
     """
 
     window_s: float = 8.0
-    over: float = 0.0
-    slack: float = 0.0
+    excess_fraction: float = 0.0
+    slack_tokens: float = 0.0
 
-    def owed(self, organisation: Organisation) -> float:
+    def quota(self, organisation: Organisation) -> float:
         """Return the number of tokens that the organisation may use in one window."""
         return organisation.rate * self.window_s + organisation.burst
 
-    def most(self, organisation: Organisation) -> float:
+    def hard_limit(self, organisation: Organisation) -> float:
         """Return the number of tokens in one window that must not be exceeded."""
-        return self.owed(organisation) * (1 + self.over) + self.slack
+        return self.quota(organisation) * (1 + self.excess_fraction) + self.slack_tokens
 
 
-class Clause(enum.StrEnum):
+class LimitRule(enum.StrEnum):
     """Rule of a quota that refuses a request."""
 
     WINDOW = "window"
     """The window is full."""
 
-    AT_ONCE = "at once"
+    BURST = "at once"
     """Too much was used in one part of the window."""
 
-    BOUND = "bound"
+    HARD_LIMIT = "bound"
     """The window would exceed the hard limit, with usage assumed before a restart."""
 
-    SILENT = "silent peers"
+    SILENT_PEERS = "silent peers"
     """The window would exceed the hard limit if silent peers use tokens as well."""
 
 
 @dataclass(frozen=True, slots=True)
-class OverLimit:
+class QuotaExceeded:
     """Refusal of a request by its organisation's quota.
 
     Attributes:
-        clause: Rule that refuses it.
-        wait_s: Time after which to retry, in seconds.
-        spent: Tokens that all entries used in the window, as far as known here.
-        asked: Tokens that the request would use.
-        owed: Tokens that the organisation may use in a window.
+        rule: Rule that refuses it.
+        retry_after_s: Time after which to retry, in seconds.
+        used: Tokens that all entries used in the window, as far as known here.
+        requested: Tokens that the request would use.
+        quota: Tokens that the organisation may use in a window.
     """
 
-    clause: Clause
-    wait_s: float
-    spent: int
-    asked: int
-    owed: int
+    rule: LimitRule
+    retry_after_s: float
+    used: int
+    requested: int
+    quota: int
 
     def __str__(self) -> str:
         """Return the rule and the figures that decided."""
-        figures = f"used {self.spent} of {self.owed} tokens, requested {self.asked}"
-        return f"{self.clause.value}: {figures}"
+        figures = f"used {self.used} of {self.quota} tokens, requested {self.requested}"
+        return f"{self.rule.value}: {figures}"
 
 
-class _Steps:
+class _UsageBuckets:
     """Token counts in time buckets."""
 
     __slots__ = ("_amounts",)
@@ -126,84 +126,101 @@
         self._amounts: dict[int, int] = {}
 
     def add(self, amount: int, now: float) -> None:
-        bucket = int(now / STEP_S)
+        bucket = int(now / BUCKET_S)
         self._amounts[bucket] = self._amounts.get(bucket, 0) + amount
 
-    def back(self, now: float, period_s: float) -> list[int]:
+    def recent(self, now: float, period_s: float) -> list[int]:
         """Return the counts of the last buckets, the current one first."""
-        current_bucket = int(now / STEP_S)
-        count = math.ceil(period_s / STEP_S)
+        current_bucket = int(now / BUCKET_S)
+        count = math.ceil(period_s / BUCKET_S)
         for bucket in [old for old in self._amounts if old < current_bucket - count]:
             del self._amounts[bucket]
         return [self._amounts.get(current_bucket - index, 0) for index in range(count + 1)]
 
 
-class SpendTable:
+class QuotaTable:
     """Usage of each organisation's quota, by this entry and its peers.
 
     Args:
         peers: The other entries.
         tolerance: How far quotas may be exceeded.
-        started: Monotonic time at which this process started, in seconds.
-        has_past: Whether the system was running before this process started.
+        started_at: Monotonic time at which this process started, in seconds.
+        has_predecessor: Whether the system was running before this process started.
     """
 
     def __init__(
-        self, peers: PeerTable, tolerance: Tolerance, *, started: float, has_past: bool
+        self,
+        peers: PeerTable,
+        tolerance: QuotaTolerance,
+        *,
+        started_at: float,
+        has_predecessor: bool,
     ) -> None:
         self._peers = peers
         self.tolerance = tolerance
-        self._own: dict[str, _Steps] = {}
-        self._since_start: dict[str, int] = {}
-        self._told: dict[str, int] = {}
-        self._ended: list[PeerRow] = []
-        self._sums: dict[str, int] = {}
-        self._summed = -STEP_S
-        self._started = started
-        self._has_past = has_past
+        self._own_usage: dict[str, _UsageBuckets] = {}
+        self._used_since_start: dict[str, int] = {}
+        self._reported: dict[str, int] = {}
+        self._ended_peers: list[PeerRow] = []
+        self._totals: dict[str, int] = {}
+        self._totals_at = -BUCKET_S
+        self._started_at = started_at
+        self._has_predecessor = has_predecessor
 
     @property
-    def _span(self) -> float:
+    def _window_s(self) -> float:
         return self.tolerance.window_s
 
-    def own(self, now: float) -> dict[str, list[int]]:
+    def own_usage(self, now: float) -> dict[str, list[int]]:
         """Return this entry's usage by organisation, in buckets back from now."""
-        usage = {name: buckets.back(now, self._span) for name, buckets in self._own.items()}
-        trimmed = {name: _trimmed(amounts) for name, amounts in usage.items()}
+        usage = {
+            name: buckets.recent(now, self._window_s)
+            for name, buckets in self._own_usage.items()
+        }
+        trimmed = {
+            name: _without_trailing_zeros(amounts) for name, amounts in usage.items()
+        }
         return {name: amounts for name, amounts in trimmed.items() if amounts}
 
-    def tell(self, now: float) -> dict[str, list[int]]:
+    def report(self, now: float) -> dict[str, list[int]]:
         """Return this entry's usage for a digest to all peers; remember it as reported."""
-        self._told = dict(self._since_start)
-        return self.own(now)
+        self._reported = dict(self._used_since_start)
+        return self.own_usage(now)
 
-    def fleet(self, now: float) -> dict[str, int] | None:
+    def total_usage(self, now: float) -> dict[str, int] | None:
         """Return the usage of all entries in the window, at most one bucket old.
 
         It serves peers that started recently; ``None`` if there are none.
         """
         if not self._peers.has_recently_started:
             return None
-        if now - self._summed >= STEP_S:
-            self._summed = now
-            self._sums = {name: int(self.spent(name, now)) for name in self._names()}
-        return self._sums
-
-    def _names(self) -> set[str]:
-        names = set(self._own)
+        if now - self._totals_at >= BUCKET_S:
+            self._totals_at = now
+            self._totals = {
+                name: int(self.used(name, now)) for name in self._organisation_names()
+            }
+        return self._totals
+
+    def _organisation_names(self) -> set[str]:
+        names = set(self._own_usage)
         for row in self._peers.rows:
             names.update(row.digest.used)
         return names
 
-    def keep_ended(self, rows: Iterable[PeerRow]) -> None:
+    def keep_ended_peers(self, rows: Iterable[PeerRow]) -> None:
         """Keep counting the usage of incarnations that have ended."""
-        self._ended.extend(rows)
+        self._ended_peers.extend(rows)
 
-    def spent(self, name: str, now: float) -> float:
+    def used(self, name: str, now: float) -> float:
         """Return the number of tokens that all entries used in the window."""
-        return max(float(sum(self._steps(name, now))), self._remembered(name, now))
+        return max(
+            float(sum(self._usage_buckets(name, now))),
+            self._used_as_older_peers_report(name, now),
+        )
 
-    def _steps(self, name: str, now: float, *, fresh_only: bool = False) -> list[int]:
+    def _usage_buckets(
+        self, name: str, now: float, *, fresh_only: bool = False
+    ) -> list[int]:
         """Return the usage by all entries, in buckets back from now.
 
         Args:
@@ -211,16 +228,22 @@
             now: Monotonic time, in seconds.
             fresh_only: Whether to count only this entry and reachable peers.
         """
-        self._ended = [row for row in self._ended if now - row.received_at <= self._span]
-        own = self._own.get(name)
-        empty = [0] * (math.ceil(self._span / STEP_S) + 1)
-        total = own.back(now, self._span) if own else empty
-        rows = self._peers.fresh(now) if fresh_only else [*self._peers.rows, *self._ended]
+        self._ended_peers = [
+            row for row in self._ended_peers if now - row.received_at <= self._window_s
+        ]
+        own = self._own_usage.get(name)
+        empty = [0] * (math.ceil(self._window_s / BUCKET_S) + 1)
+        total = own.recent(now, self._window_s) if own else empty
+        rows = (
+            self._peers.fresh(now)
+            if fresh_only
+            else [*self._peers.rows, *self._ended_peers]
+        )
         for row in rows:
-            _add_told(total, row, name, now)
+            _add_reported(total, row, name, now)
         return total
 
-    def _untold(self, buckets: list[int], now: float) -> int:
+    def _estimate_unreported(self, buckets: list[int], now: float) -> int:
         """Estimate what reachable peers may have used since their last digests.
 
         Takes the busiest bucket of the window as the rate, since all entries admit and
@@ -228,9 +251,9 @@
         """
         reachable = self._peers.fresh(now)
         age_s = sum(now - row.received_at for row in reachable) / (len(reachable) + 1)
-        return round(max(buckets) / STEP_S * age_s)
+        return round(max(buckets) / BUCKET_S * age_s)
 
-    def _unheard(self, name: str, now: float) -> int:
+    def _estimate_after_state_loss(self, name: str, now: float) -> int:
         """Estimate what peers may have used unreported, after all entries lost their state.
 
         Entries that start together have callers of the same organisation waiting, and each
@@ -241,41 +264,41 @@
         The busiest bucket is no measure of the rate in that case: it holds the whole
         backlog of waiting callers, and 300 entries would admit nothing for 6 of 8 s.
         """
-        used = self._since_start.get(name, 0)
-        unreported = max(used - self._told.get(name, 0), 0)
+        used = self._used_since_start.get(name, 0)
+        unreported = max(used - self._reported.get(name, 0), 0)
         return used * self._peers.never_seen_count + unreported * len(
             self._peers.fresh(now)
         )
 
-    def is_blind(self, now: float) -> bool:
+    def is_discovering_peers(self, now: float) -> bool:
         """Return whether peers that may have started as well have sent no digest yet."""
-        if not self._has_lost(now) or now - self._started >= FIND_S:
+        if not self._has_lost_state(now) or now - self._started_at >= DISCOVERY_S:
             return False
         return self._peers.never_seen_count > 0
 
-    def _has_lost(self, now: float) -> bool:
+    def _has_lost_state(self, now: float) -> bool:
         """Return whether no entry knows what was used in the window before the start."""
-        if not self._has_past or now - self._started > self._span:
+        if not self._has_predecessor or now - self._started_at > self._window_s:
             return False
-        return not any(self._remembers(row.digest) for row in self._peers.rows)
+        return not any(self._covers_window(row.digest) for row in self._peers.rows)
 
-    def _remembered(self, name: str, now: float) -> float:
+    def _used_as_older_peers_report(self, name: str, now: float) -> float:
         """Return what older peers report, while this process is younger than a window."""
-        if now - self._started > self._span:
+        if now - self._started_at > self._window_s:
             return 0.0
-        reported = (self._old_view(row.digest, name) for row in self._peers.rows)
+        reported = (self._older_peer_view(row.digest, name) for row in self._peers.rows)
         return float(max(reported, default=0))
 
-    def _old_view(self, digest: Digest, name: str) -> int:
-        return (digest.fleet_used or {}).get(name, 0) if self._remembers(digest) else 0
+    def _older_peer_view(self, digest: Digest, name: str) -> int:
+        return (digest.fleet_used or {}).get(name, 0) if self._covers_window(digest) else 0
 
-    def _remembers(self, digest: Digest) -> bool:
+    def _covers_window(self, digest: Digest) -> bool:
         """Return whether a peer has reported the usage of a whole window."""
-        return digest.fleet_used is not None and digest.age_s > self._span
+        return digest.fleet_used is not None and digest.age_s > self._window_s
 
     def admit(
         self, organisation: Organisation, tokens: int, now: float, *, tier: int = 0
-    ) -> OverLimit | None:
+    ) -> QuotaExceeded | None:
         """Use tokens if the quota allows it.
 
         Args:
@@ -289,25 +312,31 @@
         """
         if organisation.rate <= 0:
             return None
-        buckets = self._steps(organisation.name, now)
-        unreported = self._unheard(organisation.name, now)
-        if not self._has_lost(now):
-            unreported = self._untold(buckets, now)
+        buckets = self._usage_buckets(organisation.name, now)
+        unreported = self._estimate_after_state_loss(organisation.name, now)
+        if not self._has_lost_state(now):
+            unreported = self._estimate_unreported(buckets, now)
         buckets[0] += unreported
-        used = max(float(sum(buckets)), self._remembered(organisation.name, now))
-        fraction = 1 - LOWER_TIER * min(max(tier, 0), MOST_TIERS - 1)
-        rule = self._refuses(organisation, tokens, used, buckets, now, part=fraction)
+        used = max(
+            float(sum(buckets)), self._used_as_older_peers_report(organisation.name, now)
+        )
+        fraction = 1 - TIER_RESERVE_FRACTION * min(max(tier, 0), MAX_TIERS - 1)
+        rule = self._exceeded_rule(
+            organisation, tokens, used, buckets, now, fraction=fraction
+        )
         if rule is None:
-            self._add(organisation.name, tokens, now)
+            self._record_usage(organisation.name, tokens, now)
             return None
-        quota = self.tolerance.owed(organisation)
-        retry_after_s = (used + tokens - quota * AIM) / organisation.rate
-        return OverLimit(
-            clause=rule,
-            wait_s=min(max(retry_after_s, SOONEST_S), self.tolerance.window_s),
-            spent=round(used),
-            asked=tokens,
-            owed=round(quota),
+        quota = self.tolerance.quota(organisation)
+        retry_after_s = (used + tokens - quota * ADMIT_FACTOR) / organisation.rate
+        return QuotaExceeded(
+            rule=rule,
+            retry_after_s=min(
+                max(retry_after_s, MIN_RETRY_AFTER_S), self.tolerance.window_s
+            ),
+            used=round(used),
+            requested=tokens,
+            quota=round(quota),
         )
 
     def refund(self, organisation: Organisation, tokens: int, used_at: float) -> None:
@@ -320,14 +349,14 @@
                 time, they would offset other usage once they have left the window
                 themselves: up to 1.03 times the hard limit was admitted in simulations.
         """
-        if organisation.rate > 0 and organisation.name in self._own:
-            self._add(organisation.name, -tokens, used_at)
+        if organisation.rate > 0 and organisation.name in self._own_usage:
+            self._record_usage(organisation.name, -tokens, used_at)
 
-    def _add(self, name: str, tokens: int, now: float) -> None:
-        self._own.setdefault(name, _Steps()).add(tokens, now)
-        self._since_start[name] = self._since_start.get(name, 0) + tokens
+    def _record_usage(self, name: str, tokens: int, now: float) -> None:
+        self._own_usage.setdefault(name, _UsageBuckets()).add(tokens, now)
+        self._used_since_start[name] = self._used_since_start.get(name, 0) + tokens
 
-    def _refuses(
+    def _exceeded_rule(
         self,
         organisation: Organisation,
         tokens: int,
@@ -335,23 +364,27 @@
         buckets: list[int],
         now: float,
         *,
-        part: float,
-    ) -> Clause | None:
+        fraction: float,
+    ) -> LimitRule | None:
         """Return the rule that refuses a request; ``None`` if it is allowed."""
-        if not self._is_even(organisation, buckets):
-            return Clause.AT_ONCE
-        hard_limit = self.tolerance.most(organisation) * SAFE
-        hard_limit = (hard_limit - self._unseen_past(organisation, now)) * part
+        if not self._is_within_burst(organisation, buckets):
+            return LimitRule.BURST
+        hard_limit = self.tolerance.hard_limit(organisation) * HARD_LIMIT_FRACTION
+        hard_limit = (
+            hard_limit - self._assumed_predecessor_usage(organisation, now)
+        ) * fraction
         silent = self._peers.silent(now)
         if silent:
-            worst_case = self._if_silent_spend_too(organisation, tokens, used, silent, now)
-            return Clause.SILENT if worst_case > hard_limit else None
+            worst_case = self._usage_with_silent_peers(
+                organisation, tokens, used, silent, now
+            )
+            return LimitRule.SILENT_PEERS if worst_case > hard_limit else None
         # Ignores the size of the request: large ones would be refused more often.
-        if used >= self._aim(organisation, self._span) * part:
-            return Clause.WINDOW
-        return Clause.BOUND if used + tokens > hard_limit else None
+        if used >= self._admit_limit(organisation, self._window_s) * fraction:
+            return LimitRule.WINDOW
+        return LimitRule.HARD_LIMIT if used + tokens > hard_limit else None
 
-    def _if_silent_spend_too(
+    def _usage_with_silent_peers(
         self,
         organisation: Organisation,
         tokens: int,
@@ -363,48 +396,50 @@
         known = len(self._peers) + 1
         factor = known / (known - len(silent))
         since = min(row.received_at for row in silent)
-        recently = self._spent_since(organisation.name, since, now) + tokens
+        recently = self._used_since(organisation.name, since, now) + tokens
         return used - recently + tokens + recently * factor
 
-    def _aim(self, organisation: Organisation, seconds: float) -> float:
+    def _admit_limit(self, organisation: Organisation, seconds: float) -> float:
         """Return the number of tokens that may be admitted within part of the window."""
-        fraction = AT_ONCE + (1 - AT_ONCE) * min(seconds / self._span, 1.0)
-        return self.tolerance.owed(organisation) * AIM * fraction
+        fraction = BURST_FRACTION + (1 - BURST_FRACTION) * min(
+            seconds / self._window_s, 1.0
+        )
+        return self.tolerance.quota(organisation) * ADMIT_FACTOR * fraction
 
-    def _is_even(self, organisation: Organisation, buckets: list[int]) -> bool:
+    def _is_within_burst(self, organisation: Organisation, buckets: list[int]) -> bool:
         """Return whether the usage stays within the burst limit for every recent period."""
         total = 0.0
         for index, amount in enumerate(buckets[:-1]):
             total += amount
-            if total > self._aim(organisation, (index + 1) * STEP_S):
+            if total > self._admit_limit(organisation, (index + 1) * BUCKET_S):
                 return False
         return True
 
-    def _spent_since(self, name: str, since: float, now: float) -> float:
+    def _used_since(self, name: str, since: float, now: float) -> float:
         """Return what the reachable entries used since a time."""
-        count = math.ceil(min(now - since, self._span) / STEP_S) + 1
-        return float(sum(self._steps(name, now, fresh_only=True)[:count]))
+        count = math.ceil(min(now - since, self._window_s) / BUCKET_S) + 1
+        return float(sum(self._usage_buckets(name, now, fresh_only=True)[:count]))
 
-    def _unseen_past(self, organisation: Organisation, now: float) -> float:
+    def _assumed_predecessor_usage(self, organisation: Organisation, now: float) -> float:
         """Return what may have been used before this process started.
 
         If all entries were lost, none knows. The maximum that can have been used in the
         rest of the window is then assumed.
         """
-        if not self._has_lost(now):
+        if not self._has_lost_state(now):
             return 0.0
-        return self._aim(organisation, self._span - (now - self._started))
+        return self._admit_limit(organisation, self._window_s - (now - self._started_at))
 
 
-def _trimmed(amounts: list[int]) -> list[int]:
+def _without_trailing_zeros(amounts: list[int]) -> list[int]:
     """Return the amounts without trailing zeros."""
     last = max((index for index, amount in enumerate(amounts) if amount), default=-1)
     return amounts[: last + 1]
 
 
-def _add_told(total: list[int], row: PeerRow, name: str, now: float) -> None:
+def _add_reported(total: list[int], row: PeerRow, name: str, now: float) -> None:
     """Add the usage a peer reported, shifted by the time since it was received."""
-    shift = int((now - row.received_at) / STEP_S)
+    shift = int((now - row.received_at) / BUCKET_S)
     for index, amount in enumerate(row.digest.used.get(name, ())):
         if index + shift >= len(total):
             return
--- a/dockreach/served_reading.py
+++ b/dockreach/served_reading.py
@@ -10,7 +10,13 @@
 from prometheus_client.parser import text_string_to_metric_families
 from prometheus_client.samples import Sample as ParsedSample
 
-from .direct.outcomes import HELD, SERVED, TRIES, Ending, Outcome
+from .direct.outcomes import (
+    ATTEMPTS_METRIC,
+    SERVED,
+    UNSERVED_TIME_METRIC,
+    Outcome,
+    OutcomeKey,
+)
 from .errors import SettingsError
 from .served_worth import Counted, Prices
 from .story import LogLine, read_lines
@@ -87,10 +93,10 @@
 
 
 def _add_sample(sample: ParsedSample, counted: Counted) -> None:
-    if sample.name == TRIES:
-        counted.add(Ending.from_labels(sample.labels), sample.value, 0.0)
-    elif sample.name == HELD:
-        counted.add(Ending.from_labels(sample.labels), 0.0, sample.value)
+    if sample.name == ATTEMPTS_METRIC:
+        counted.add(OutcomeKey.from_labels(sample.labels), sample.value, 0.0)
+    elif sample.name == UNSERVED_TIME_METRIC:
+        counted.add(OutcomeKey.from_labels(sample.labels), 0.0, sample.value)
 
 
 def _read_log(path: Path, text: str) -> Counted:
@@ -109,12 +115,12 @@
 
 def _add_line(line: LogLine, counted: Counted) -> None:
     try:
-        ending = Ending(
+        ending = OutcomeKey(
             route=str(line.fields["route"]),
             tier=int(line.fields["tier"]),
             outcome=Outcome(line.fields["outcome"]),
             reason=str(line.fields.get("reason", "")),
-            returned=float(line.fields.get("tried_ms", 0)) > 0,
+            is_retry=float(line.fields.get("tried_ms", 0)) > 0,
         )
     except ValueError as exc:
         counted.problems.append(f"{line.daemon}: request {line.rid}: {exc}")
--- a/dockreach/served_worth.py
+++ b/dockreach/served_worth.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from .direct.outcomes import Ending, Outcome
+from .direct.outcomes import Outcome, OutcomeKey
 
 NOT_OWED = frozenset(("bad_key", "unknown_service", "bad_request"))
 """Reasons of refusals that callers brought about themselves."""
@@ -46,12 +46,12 @@
         problems: What could not be read, for a person.
     """
 
-    tries: dict[Ending, float] = field(default_factory=dict)
-    held: dict[Ending, float] = field(default_factory=dict)
+    tries: dict[OutcomeKey, float] = field(default_factory=dict)
+    held: dict[OutcomeKey, float] = field(default_factory=dict)
     left_out: int = 0
     problems: list[str] = field(default_factory=list)
 
-    def add(self, ending: Ending, tries: float, held: float) -> None:
+    def add(self, ending: OutcomeKey, tries: float, held: float) -> None:
         """Add tries that ended alike."""
         self.tries[ending] = self.tries.get(ending, 0.0) + tries
         self.held[ending] = self.held.get(ending, 0.0) + held
@@ -126,10 +126,10 @@
     return [found[key] for key in sorted(found)]
 
 
-def _add(row: RouteWorth, ending: Ending, tries: float, held: float) -> None:
+def _add(row: RouteWorth, ending: OutcomeKey, tries: float, held: float) -> None:
     if ending.reason in NOT_OWED or ending.outcome is Outcome.LEFT:
         return
-    if ending.returned:
+    if ending.is_retry:
         row.returned += tries
     else:
         row.owed += tries
@@ -143,7 +143,7 @@
         reason = ending.reason or ending.outcome.value
         row.unserved[reason] = row.unserved.get(reason, 0.0) + tries
         row.held += held
-        row.again += tries if ending.returned else 0.0
+        row.again += tries if ending.is_retry else 0.0
 
 
 def total(rows: Iterable[RouteWorth], prices: Prices) -> float:
--- a/tests/direct/advertising_engines.py
+++ b/tests/direct/advertising_engines.py
@@ -12,7 +12,7 @@
 from dockreach.direct.endpoints import Published
 from dockreach.direct.entry import Entry
 
-from .dying_engines import NEWS_S
+from .crashing_engines import GOSSIP_S
 from .standins import Caller, Dialog, EndpointStandIn, entry_settings, start_entry
 
 WORK_S = 0.1
@@ -87,7 +87,7 @@
             entry = start_entry(settings=replace(entry_settings(), seeds=seeds))
             self.entries.append(entry)
         self.publish()
-        eventlet.sleep(NEWS_S)
+        eventlet.sleep(GOSSIP_S)
 
     def publish(self, *, seq: int = 1) -> None:
         """Publish all engines as the platform does, none of them as leaving."""
--- a/tests/direct/dying_engines.py
+++ b/tests/direct/crashing_engines.py
@@ -19,15 +19,15 @@
     start_entry,
 )
 
-DEADLY = b"a body that ends whatever runs it"
-BEGIN_S = 0.02
+CRASHING_BODY = b"a body that ends whatever runs it"
+CRASH_DELAY_S = 0.02
 """Time from a request's arrival to the crash of its engine, in seconds."""
 
-NEWS_S = 0.25
+GOSSIP_S = 0.25
 """Time within which entries on one machine receive each other's messages, in seconds."""
 
 
-def wait_at_a_full_engine(serve: Callable[[Dialog], None]) -> tuple[Entry, list[Caller]]:
+def queue_at_full_engine(serve: Callable[[Dialog], None]) -> tuple[Entry, list[Caller]]:
     """Start an entry with one engine, and callers of which the last waits for a slot.
 
     Args:
@@ -38,31 +38,31 @@
     entry.take_endpoint(published("e-0", EndpointStandIn(serve).address, slots=1))
     callers = [Caller(entry) for _ in range(4)]
     for number, caller in enumerate(callers):
-        body = DEADLY if number == 3 else str(number).encode()
+        body = CRASHING_BODY if number == 3 else str(number).encode()
         caller.send("/draft/a" if number < 3 else "/once/a", rid=f"r-{number}", body=body)
-        eventlet.sleep(BEGIN_S)
+        eventlet.sleep(CRASH_DELAY_S)
     return entry, callers
 
 
-def suspects_after(entry: Entry, path: str) -> int:
+def count_suspects_after(entry: Entry, path: str) -> int:
     """Send a harmless request, read the response, and count the suspected requests."""
     caller = Caller(entry)
     caller.send(path, body=b"sound")
     caller.read_answer()
-    eventlet.sleep(NEWS_S)
-    return len(entry.ctx.crashes.crashers)
+    eventlet.sleep(GOSSIP_S)
+    return len(entry.ctx.crashes.quarantine)
 
 
-class DyingFleet:
+class CrashingFleet:
     """Entries that exchange digests, and engines that are replaced when they crash.
 
     Attributes:
-        ended: Ids of the engines that crashed, in order.
+        crashed: Ids of the engines that crashed, in order.
         entries: The entries; the first one is the seed of the others.
     """
 
     def __init__(self, *, entries: int, engines: int) -> None:
-        self.ended: list[str] = []
+        self.crashed: list[str] = []
         self.entries: list[Entry] = []
         self._numbers = itertools.count()
         self._rids = itertools.count()
@@ -70,7 +70,7 @@
             self.add_entry()
         for _ in range(engines):
             self._start_engine()
-        eventlet.sleep(NEWS_S)
+        eventlet.sleep(GOSSIP_S)
 
     def add_entry(self) -> Entry:
         """Start one more entry."""
@@ -84,11 +84,11 @@
         engine: EndpointStandIn
 
         def run(dialog: Dialog) -> None:
-            eventlet.sleep(BEGIN_S)
-            if not dialog.request.endswith(DEADLY):
+            eventlet.sleep(CRASH_DELAY_S)
+            if not dialog.request.endswith(CRASHING_BODY):
                 dialog.answer(b"fine")
                 return
-            self.ended.append(name)
+            self.crashed.append(name)
             engine.close()
             for other in engine.dialogs:
                 other.reset()
@@ -98,7 +98,7 @@
         for entry in self.entries:
             entry.take_endpoint(published(name, engine.address))
 
-    def ask(self, entry: Entry, body: bytes, *, path: str = "/once/a") -> bytes:
+    def request(self, entry: Entry, body: bytes, *, path: str = "/once/a") -> bytes:
         """Send a request with an id of its own; return the response."""
         caller = Caller(entry)
         caller.send(path, rid=f"r-{next(self._rids)}", body=body)
--- a/tests/direct/standins.py
+++ b/tests/direct/standins.py
@@ -16,7 +16,7 @@
 from dockreach.direct.endpoints import Published
 from dockreach.direct.entry import Entry
 from dockreach.direct.entry_settings import EntrySettings
-from dockreach.direct.retrying import RetryPolicy
+from dockreach.direct.retry_budget import RetryPolicy
 from dockreach.direct.routing_config import (
     CallerLimits,
     ConfigRevision,
@@ -26,7 +26,7 @@
     Service,
     Split,
 )
-from dockreach.direct.spending import Tolerance
+from dockreach.direct.token_quota import QuotaTolerance
 from dockreach_platform.headers import PlatformDialect
 
 LOCAL = "127.0.0.1"
@@ -303,7 +303,7 @@
         has_past=False,
         grace_s=grace_s,
         metrics_path="/metrics",
-        tolerance=Tolerance(),
+        tolerance=QuotaTolerance(),
         retries=RetryPolicy(),
     )
 
--- a/tests/direct/test_crash_reports.py
+++ b/tests/direct/test_crash_reporter.py
@@ -7,27 +7,27 @@
 import eventlet
 import pytest
 
-from dockreach.direct.crash_reports import CrashReports, Loss
-from dockreach.direct.crashers import MOST_RUNS, SUDDEN_S, Crashers
+from dockreach.direct.crash_reporter import CrashReporter, UnansweredRequest
 from dockreach.direct.endpoints import EndpointRow, EndpointTable
-
-from .dying_engines import (
-    BEGIN_S,
-    DEADLY,
-    NEWS_S,
-    DyingFleet,
-    suspects_after,
-    wait_at_a_full_engine,
+from dockreach.direct.quarantine import MAX_RUNS, SUDDEN_S, RequestQuarantine
+
+from .crashing_engines import (
+    CRASH_DELAY_S,
+    CRASHING_BODY,
+    GOSSIP_S,
+    CrashingFleet,
+    count_suspects_after,
+    queue_at_full_engine,
 )
 from .standins import Caller, Dialog, EndpointStandIn, published, start_entry, status_of
 
-SOON_S = 0.3
+IMMEDIATE_S = 0.3
 """Time within which a response that waits for nothing arrives, in seconds."""
 
 BODY = b"request1"
 
 
-class Clock:
+class FakeClock:
     """A clock that the test sets."""
 
     def __init__(self, now: float) -> None:
@@ -37,11 +37,11 @@
         return self.now
 
 
-def alone(clock: Clock) -> tuple[CrashReports, EndpointTable]:
+def isolated_reporter(clock: FakeClock) -> tuple[CrashReporter, EndpointTable]:
     """Return the crash reporter of an entry without peers, and its endpoints."""
     endpoints = EndpointTable()
-    quarantine = Crashers(clock, lambda _: False)
-    reporter = CrashReports(
+    quarantine = RequestQuarantine(clock, lambda _: False)
+    reporter = CrashReporter(
         quarantine, endpoints, lambda _: None, clock, 1.0, lambda _: None
     )
     return reporter, endpoints
@@ -62,18 +62,18 @@
     goes on and crashes after 0.1 s. Only connections broken by the engine were counted, and
     here the entry had closed them itself: six of six crashes by one body were missed.
     """
-    fleet = DyingFleet(entries=1, engines=6)
+    fleet = CrashingFleet(entries=1, engines=6)
     (entry,) = fleet.entries
     for number in range(6):
         caller = Caller(entry)
-        caller.send("/once/a", rid=f"left-{number}", body=DEADLY)
-        eventlet.sleep(BEGIN_S / 4)
+        caller.send("/once/a", rid=f"left-{number}", body=CRASHING_BODY)
+        eventlet.sleep(CRASH_DELAY_S / 4)
         caller.close()
-        eventlet.sleep(NEWS_S)
+        eventlet.sleep(GOSSIP_S)
         # The platform's report, after some missed heartbeats.
-        for name in fleet.ended:
+        for name in fleet.crashed:
             entry.lose_endpoint(name)
-    assert len(fleet.ended) == 2
+    assert len(fleet.crashed) == 2
 
 
 @pytest.mark.parametrize("began", [100.0, 12345.678, 80001.3])
@@ -85,15 +85,17 @@
     little less than 5 ms for half of all clock values, 12345.678 s among them. Two such
     crashes or four quarantined a request, depending on the last digit of the time.
     """
-    clock = Clock(began)
-    reporter, endpoints = alone(clock)
-    for number in range(MOST_RUNS):
-        assert not reporter.crashers.is_barred(BODY)
+    clock = FakeClock(began)
+    reporter, endpoints = isolated_reporter(clock)
+    for number in range(MAX_RUNS):
+        assert not reporter.quarantine.is_quarantined(BODY)
         clock.now += 1.0
         row = publish(endpoints, f"e-{number}")
-        reporter.left(Loss("/once/a", BODY, "", row, clock.now, clock.now + SUDDEN_S / 5))
-        reporter.ended(row)
-    assert reporter.crashers.is_barred(BODY)
+        reporter.record_abandoned(
+            UnansweredRequest("/once/a", BODY, "", row, clock.now, clock.now + SUDDEN_S / 5)
+        )
+        reporter.handle_incarnation_end(row)
+    assert reporter.quarantine.is_quarantined(BODY)
 
 
 @pytest.mark.parametrize(("alive_s", "is_quarantined"), [(0.01, True), (2.0, False)])
@@ -107,17 +109,19 @@
     two crashes 20 ms after the caller had disconnected were not counted. A response seconds
     later does show it.
     """
-    clock = Clock(100.0)
-    reporter, endpoints = alone(clock)
-    for number in range(MOST_RUNS):
+    clock = FakeClock(100.0)
+    reporter, endpoints = isolated_reporter(clock)
+    for number in range(MAX_RUNS):
         clock.now += 1.0
         row = publish(endpoints, f"e-{number}")
-        reporter.left(Loss("/once/a", BODY, "", row, clock.now - 0.1, clock.now))
+        reporter.record_abandoned(
+            UnansweredRequest("/once/a", BODY, "", row, clock.now - 0.1, clock.now)
+        )
         clock.now += alive_s
-        reporter.lives(row)
+        reporter.record_alive(row)
         clock.now += 0.01
-        reporter.ended(row)
-    assert reporter.crashers.is_barred(BODY) is is_quarantined
+        reporter.handle_incarnation_end(row)
+    assert reporter.quarantine.is_quarantined(BODY) is is_quarantined
 
 
 def test_a_queued_request_is_refused_at_once_when_a_report_arrives() -> None:
@@ -132,31 +136,31 @@
         eventlet.sleep(2.0)
         dialog.answer(b"fine")
 
-    fleet = DyingFleet(entries=1, engines=3)
+    fleet = CrashingFleet(entries=1, engines=3)
     for _ in range(2):
-        fleet.ask(fleet.entries[0], DEADLY)
-        eventlet.sleep(NEWS_S)
-    entry, callers = wait_at_a_full_engine(busy)
-    entry.ctx.crashes.take(fleet.entries[0].ctx.crashes.crashers.tell_some())
+        fleet.request(fleet.entries[0], CRASHING_BODY)
+        eventlet.sleep(GOSSIP_S)
+    entry, callers = queue_at_full_engine(busy)
+    entry.ctx.crashes.merge(fleet.entries[0].ctx.crashes.quarantine.next_reports())
     start = time.monotonic()
     assert status_of(callers[-1].read_answer()) == 503
-    assert time.monotonic() - start < SOON_S
+    assert time.monotonic() - start < IMMEDIATE_S
 
 
 def test_a_request_in_flight_when_a_report_arrives_is_not_retried() -> None:
     """The next engine would be the fourth to crash: the request is not queued again."""
-    other_fleet = DyingFleet(entries=1, engines=3)
+    other_fleet = CrashingFleet(entries=1, engines=3)
     for _ in range(2):
-        other_fleet.ask(other_fleet.entries[0], DEADLY, path="/safe/a")
-        eventlet.sleep(NEWS_S)
-    reports = other_fleet.entries[0].ctx.crashes.crashers.tell_some()
-    fleet = DyingFleet(entries=1, engines=3)
+        other_fleet.request(other_fleet.entries[0], CRASHING_BODY, path="/safe/a")
+        eventlet.sleep(GOSSIP_S)
+    reports = other_fleet.entries[0].ctx.crashes.quarantine.next_reports()
+    fleet = CrashingFleet(entries=1, engines=3)
     caller = Caller(fleet.entries[0])
-    caller.send("/safe/a", body=DEADLY)
-    eventlet.sleep(BEGIN_S / 4)
-    fleet.entries[0].ctx.crashes.take(reports)
+    caller.send("/safe/a", body=CRASHING_BODY)
+    eventlet.sleep(CRASH_DELAY_S / 4)
+    fleet.entries[0].ctx.crashes.merge(reports)
     assert status_of(caller.read_answer()) == 502
-    assert len(fleet.ended) == 1
+    assert len(fleet.crashed) == 1
 
 
 @pytest.mark.parametrize(("events", "gap_s"), [(10, 0.02), (4, 0.4)])
@@ -181,4 +185,4 @@
         dialog.reset()
 
     engine = EndpointStandIn(end_after_some)
-    assert suspects_after(start_entry(engine), "/draft/a") == 0
+    assert count_suspects_after(start_entry(engine), "/draft/a") == 0
--- a/tests/direct/test_crashing_requests.py
+++ b/tests/direct/test_crashing_requests.py
@@ -18,17 +18,17 @@
 import eventlet
 import pytest
 
-from dockreach.direct import crashers
-from dockreach.direct.crash_reports import TELL_AGAIN_S
-from dockreach.direct.crashers import SUDDEN_S
-
-from .dying_engines import (
-    BEGIN_S,
-    DEADLY,
-    NEWS_S,
-    DyingFleet,
-    suspects_after,
-    wait_at_a_full_engine,
+from dockreach.direct import quarantine
+from dockreach.direct.crash_reporter import RESEND_DELAYS_S
+from dockreach.direct.quarantine import SUDDEN_S
+
+from .crashing_engines import (
+    CRASH_DELAY_S,
+    CRASHING_BODY,
+    GOSSIP_S,
+    CrashingFleet,
+    count_suspects_after,
+    queue_at_full_engine,
 )
 from .standins import (
     READ_S,
@@ -43,51 +43,51 @@
 
 
 def test_a_crashing_body_crashes_at_most_three_engines_over_all_entries() -> None:
-    fleet = DyingFleet(entries=3, engines=4)
+    fleet = CrashingFleet(entries=3, engines=4)
     statuses = []
     for number in range(9):
-        response = fleet.ask(fleet.entries[number % 3], DEADLY)
+        response = fleet.request(fleet.entries[number % 3], CRASHING_BODY)
         statuses.append(status_of(response))
-        eventlet.sleep(NEWS_S)
+        eventlet.sleep(GOSSIP_S)
     # One less than the three that are allowed: a third crash would serve no caller.
-    assert len(fleet.ended) == 2
+    assert len(fleet.crashed) == 2
     # May have run, twice; then it never runs again, and the responses say so.
     assert statuses == [502] * 2 + [503] * 7
-    assert status_of(fleet.ask(fleet.entries[0], b"another body")) == 200
+    assert status_of(fleet.request(fleet.entries[0], b"another body")) == 200
 
 
 def test_a_quarantined_request_is_refused_and_others_on_its_path_are_served() -> None:
-    fleet = DyingFleet(entries=2, engines=3)
+    fleet = CrashingFleet(entries=2, engines=3)
     for number in range(2):
-        fleet.ask(fleet.entries[number], DEADLY)
-        eventlet.sleep(NEWS_S)
-    response = fleet.ask(fleet.entries[0], DEADLY)
+        fleet.request(fleet.entries[number], CRASHING_BODY)
+        eventlet.sleep(GOSSIP_S)
+    response = fleet.request(fleet.entries[0], CRASHING_BODY)
     assert float(header_of(response, b"retry-after") or 0) > 60.0
     for entry in fleet.entries:
-        assert status_of(fleet.ask(entry, b"another body")) == 200
-        assert status_of(fleet.ask(entry, DEADLY, path="/once/b")) == 502
+        assert status_of(fleet.request(entry, b"another body")) == 200
+        assert status_of(fleet.request(entry, CRASHING_BODY, path="/once/b")) == 502
 
 
 def test_an_entry_that_has_just_started_receives_the_reports() -> None:
-    fleet = DyingFleet(entries=2, engines=3)
+    fleet = CrashingFleet(entries=2, engines=3)
     for _ in range(2):
-        fleet.ask(fleet.entries[0], DEADLY)
-        eventlet.sleep(NEWS_S)
+        fleet.request(fleet.entries[0], CRASHING_BODY)
+        eventlet.sleep(GOSSIP_S)
     # The report itself is not sent again any more.
-    eventlet.sleep(max(TELL_AGAIN_S))
+    eventlet.sleep(max(RESEND_DELAYS_S))
     new_entry = fleet.add_entry()
-    eventlet.sleep(NEWS_S)
-    assert status_of(fleet.ask(new_entry, DEADLY)) == 503
-    assert len(fleet.ended) == 2
+    eventlet.sleep(GOSSIP_S)
+    assert status_of(fleet.request(new_entry, CRASHING_BODY)) == 503
+    assert len(fleet.crashed) == 2
 
 
 def test_a_crashing_request_is_not_retried_within_one_attempt_either() -> None:
-    fleet = DyingFleet(entries=2, engines=6)
+    fleet = CrashingFleet(entries=2, engines=6)
     for number in range(6):
-        fleet.ask(fleet.entries[number % 2], DEADLY, path="/safe/a")
-        eventlet.sleep(NEWS_S)
+        fleet.request(fleet.entries[number % 2], CRASHING_BODY, path="/safe/a")
+        eventlet.sleep(GOSSIP_S)
     # The second engine of the first attempt was the last one.
-    assert len(fleet.ended) == 2
+    assert len(fleet.crashed) == 2
 
 
 def test_a_request_that_waits_for_a_slot_is_refused_when_a_report_arrives() -> None:
@@ -98,31 +98,33 @@
         eventlet.sleep(0.3)
         dialog.answer(b"fine")
 
-    fleet = DyingFleet(entries=1, engines=3)
+    fleet = CrashingFleet(entries=1, engines=3)
     for _ in range(2):
-        fleet.ask(fleet.entries[0], DEADLY)
-        eventlet.sleep(NEWS_S)
-    entry, callers = wait_at_a_full_engine(busy)
+        fleet.request(fleet.entries[0], CRASHING_BODY)
+        eventlet.sleep(GOSSIP_S)
+    entry, callers = queue_at_full_engine(busy)
     assert "r-3" not in ran
-    entry.ctx.crashes.take(fleet.entries[0].ctx.crashes.crashers.tell_some())
+    entry.ctx.crashes.merge(fleet.entries[0].ctx.crashes.quarantine.next_reports())
     assert status_of(callers[-1].read_answer()) == 503
     assert "r-3" not in ran
 
 
-def cut(dialog: Dialog) -> None:
+def break_stream(dialog: Dialog) -> None:
     dialog.start_stream()
     dialog.reset()
 
 
 def test_a_broken_connection_is_no_crash_while_the_engine_listens() -> None:
-    engine = EndpointStandIn(cut)
-    entry = start_entry(engine, EndpointStandIn(cut), EndpointStandIn(cut))
+    engine = EndpointStandIn(break_stream)
+    entry = start_entry(
+        engine, EndpointStandIn(break_stream), EndpointStandIn(break_stream)
+    )
     for number in range(4):
         caller = Caller(entry)
         caller.send("/draft/a", rid=f"r-{number}", body=b"sound")
         assert status_of(caller.read_answer()) == 502
-        eventlet.sleep(NEWS_S)
-    assert len(entry.ctx.crashes.crashers) == 0
+        eventlet.sleep(GOSSIP_S)
+    assert len(entry.ctx.crashes.quarantine) == 0
 
 
 @pytest.mark.parametrize("is_announced", [True, False])
@@ -137,7 +139,7 @@
 
     engine = EndpointStandIn(leave)
     entry = start_entry(engine)
-    assert suspects_after(entry, "/once/a") == 0
+    assert count_suspects_after(entry, "/once/a") == 0
 
 
 def test_a_stream_that_has_run_for_a_while_is_not_suspected() -> None:
@@ -150,27 +152,28 @@
         dialog.reset()
 
     engine = EndpointStandIn(end_late)
-    assert suspects_after(start_entry(engine), "/draft/a") == 0
+    assert count_suspects_after(start_entry(engine), "/draft/a") == 0
 
 
 def test_the_log_identifies_the_crashing_request(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level("INFO", logger="dockreach")
-    fleet = DyingFleet(entries=1, engines=3)
+    fleet = CrashingFleet(entries=1, engines=3)
     for _ in range(2):
-        fleet.ask(fleet.entries[0], DEADLY)
-        eventlet.sleep(NEWS_S)
+        fleet.request(fleet.entries[0], CRASHING_BODY)
+        eventlet.sleep(GOSSIP_S)
     crashed = [vars(row) for row in caplog.records if row.message == "request crashed"]
     assert [row["endpoint"] for row in crashed] == ["life-0", "life-1"]
     assert {(row["path"], row["organisation"]) for row in crashed} == {
         ("/once/a", "assessors")
     }
     assert [row["is_barred"] for row in crashed] == [False, True]
-    assert DEADLY.decode() not in caplog.text
+    assert CRASHING_BODY.decode() not in caplog.text
 
 
 @pytest.mark.parametrize("is_back_at_once", [False, True])
 @pytest.mark.parametrize(
-    ("crash_delay_s", "sudden_s", "max_crashes"), [(BEGIN_S, SUDDEN_S, 2), (0.0, READ_S, 4)]
+    ("crash_delay_s", "sudden_s", "max_crashes"),
+    [(CRASH_DELAY_S, SUDDEN_S, 2), (0.0, READ_S, 4)],
 )
 def test_a_crash_is_detected_though_the_address_still_accepts_connections(
     is_back_at_once: bool,
@@ -188,11 +191,11 @@
     may take this process longer than 5 ms: beside 24 busy processes 1 of 191 crashes took
     8.6 ms, with 0.4 ms being usual.
     """
-    monkeypatch.setattr(crashers, "SUDDEN_S", sudden_s)
+    monkeypatch.setattr(quarantine, "SUDDEN_S", sudden_s)
     crashed: list[str] = []
 
     def serve(dialog: Dialog) -> None:
-        if not dialog.request.endswith(DEADLY):
+        if not dialog.request.endswith(CRASHING_BODY):
             dialog.answer(b"fine")
             return
         eventlet.sleep(crash_delay_s)
@@ -213,19 +216,19 @@
     entry = start_entry(engines[0])
     for number in range(5):
         caller = Caller(entry)
-        caller.send("/once/a", rid=f"r-{number}", body=DEADLY)
+        caller.send("/once/a", rid=f"r-{number}", body=CRASHING_BODY)
         caller.read_answer()
-        eventlet.sleep(NEWS_S)
+        eventlet.sleep(GOSSIP_S)
     assert crashed == [f"e-{number}" for number in range(max_crashes)]
 
 
 def test_an_entry_that_missed_a_report_receives_it_with_a_digest() -> None:
-    fleet = DyingFleet(entries=2, engines=3)
+    fleet = CrashingFleet(entries=2, engines=3)
     first, second = fleet.entries
     first.ctx.crashes._send_all = lambda news: None
     for _ in range(2):
-        fleet.ask(first, DEADLY)
-        eventlet.sleep(NEWS_S)
-    eventlet.sleep(NEWS_S)
-    assert status_of(fleet.ask(second, DEADLY)) == 503
-    assert len(fleet.ended) == 2
+        fleet.request(first, CRASHING_BODY)
+        eventlet.sleep(GOSSIP_S)
+    eventlet.sleep(GOSSIP_S)
+    assert status_of(fleet.request(second, CRASHING_BODY)) == 503
+    assert len(fleet.crashed) == 2
--- a/tests/direct/test_entry_pages.py
+++ b/tests/direct/test_entry_pages.py
@@ -7,7 +7,7 @@
 from dockreach.direct.entry import Entry
 
 from .advertising_engines import AdvertisingFleet
-from .dying_engines import DEADLY, NEWS_S, DyingFleet
+from .crashing_engines import CRASHING_BODY, GOSSIP_S, CrashingFleet
 from .standins import ask_page, start_entry
 
 
@@ -15,7 +15,7 @@
     """Return the lines of one metric of the direct path from an entry's metrics page."""
     assert entry.settings.metrics is not None
     page = ask_page(entry.settings.metrics, "/metrics")
-    assert DEADLY not in page
+    assert CRASHING_BODY not in page
     prefix = f"dockreach_direct_{name}{{".encode()
     return [line for line in page.splitlines() if line.startswith(prefix)]
 
@@ -35,26 +35,26 @@
 
 
 def test_a_quarantined_request_is_shown_with_its_organisation_and_path() -> None:
-    fleet = DyingFleet(entries=2, engines=3)
+    fleet = CrashingFleet(entries=2, engines=3)
     first, second = fleet.entries
     for _ in range(2):
         assert barred_on(first) == []
-        fleet.ask(first, DEADLY)
-        eventlet.sleep(NEWS_S)
+        fleet.request(first, CRASHING_BODY)
+        eventlet.sleep(GOSSIP_S)
     (row,) = barred_on(first)
     assert b'path="/once/a"' in row
     assert b'organisation="assessors"' in row
     # The other entry has the crash report, but no source until the request arrives there.
     (row,) = barred_on(second)
     assert b'path=""' in row
-    fleet.ask(second, DEADLY)
+    fleet.request(second, CRASHING_BODY)
     (row,) = barred_on(second)
     assert b'path="/once/a"' in row
     for entry in fleet.entries:
-        (fingerprint,) = entry.ctx.crashes.crashers.barred()
+        (fingerprint,) = entry.ctx.crashes.quarantine.quarantined()
         assert fingerprint.hex().encode() in row
-    second.ctx.crashes.answered(fingerprint)
-    eventlet.sleep(NEWS_S)
+    second.ctx.crashes.record_completion(fingerprint)
+    eventlet.sleep(GOSSIP_S)
     assert barred_on(first) == barred_on(second) == []
 
 
--- a/tests/direct/test_spending.py
+++ b/tests/direct/test_token_quota.py
@@ -14,35 +14,37 @@
     MIN_DIGEST_INTERVAL_S,
     PeerTable,
 )
-from dockreach.direct.spending import (
-    AIM,
-    AT_ONCE,
-    SAFE,
-    STEP_S,
-    Clause,
-    SpendTable,
-    Tolerance,
+from dockreach.direct.token_quota import (
+    ADMIT_FACTOR,
+    BUCKET_S,
+    BURST_FRACTION,
+    HARD_LIMIT_FRACTION,
+    LimitRule,
+    QuotaTable,
+    QuotaTolerance,
 )
 
 from .cores import address, digest, organisation, peers
 
-TOLERANCE = Tolerance(window_s=8.0, over=0.25, slack=2000.0)
-LITTLE_SLACK = Tolerance(window_s=8.0, over=0.25, slack=1000.0)
+TOLERANCE = QuotaTolerance(window_s=8.0, excess_fraction=0.25, slack_tokens=2000.0)
+SMALL_SLACK = QuotaTolerance(window_s=8.0, excess_fraction=0.25, slack_tokens=1000.0)
 """Slack of a tenth of the quota, as for a large organisation of the users."""
 
-NO_SLACK = Tolerance(window_s=4.0, over=0.25)
+NO_SLACK = QuotaTolerance(window_s=4.0, excess_fraction=0.25)
 """A short window without additional tokens."""
 
-OWED = 10_000.0
+QUOTA = 10_000.0
 WINDOW_S = 8.0
 
 
-def table(known: PeerTable | None = None, *, has_past: bool = False) -> SpendTable:
+def new_quota_table(
+    known: PeerTable | None = None, *, has_predecessor: bool = False
+) -> QuotaTable:
     known = known if known is not None else peers()
-    return SpendTable(known, TOLERANCE, started=0.0, has_past=has_past)
+    return QuotaTable(known, TOLERANCE, started_at=0.0, has_predecessor=has_predecessor)
 
 
-def spend_all(quotas: SpendTable, now: float, piece: int = 100) -> int:
+def use_all(quotas: QuotaTable, now: float, piece: int = 100) -> int:
     """Use tokens piece by piece until refused; return how many were admitted."""
     total = 0
     while quotas.admit(organisation(), piece, now) is None:
@@ -52,73 +54,73 @@
 
 def test_an_organisation_without_a_quota_is_never_refused() -> None:
     free = organisation(rate=0.0)
-    assert all(table().admit(free, 10**6, 1.0) is None for _ in range(20))
+    assert all(new_quota_table().admit(free, 10**6, 1.0) is None for _ in range(20))
 
 
 def test_no_more_than_the_burst_is_admitted_at_once() -> None:
-    assert spend_all(table(), 1.0) <= OWED * AIM * (AT_ONCE + 0.1)
+    assert use_all(new_quota_table(), 1.0) <= QUOTA * ADMIT_FACTOR * (BURST_FRACTION + 0.1)
 
 
 def test_a_window_admits_the_quota_and_keeps_the_hard_limit() -> None:
-    quotas = table()
-    total = sum(spend_all(quotas, 0.5 * step) for step in range(16))
-    assert OWED <= total <= TOLERANCE.most(organisation())
+    quotas = new_quota_table()
+    total = sum(use_all(quotas, 0.5 * step) for step in range(16))
+    assert QUOTA <= total <= TOLERANCE.hard_limit(organisation())
 
 
 def test_a_refusal_asks_for_a_retry_within_the_window() -> None:
-    quotas = table()
-    spend_all(quotas, 1.0)
+    quotas = new_quota_table()
+    use_all(quotas, 1.0)
     refusal = quotas.admit(organisation(), 100, 1.0)
     assert refusal is not None
-    assert 0 < refusal.wait_s <= WINDOW_S
+    assert 0 < refusal.retry_after_s <= WINDOW_S
 
 
 def test_a_refusal_contains_the_figures_that_decided() -> None:
-    quotas = table()
-    total = spend_all(quotas, 1.0)
+    quotas = new_quota_table()
+    total = use_all(quotas, 1.0)
     refusal = quotas.admit(organisation(), 100, 1.0)
     assert str(refusal) == f"at once: used {total} of 10000 tokens, requested 100"
 
 
 def test_a_refusal_contains_the_rule_that_refuses() -> None:
     known = peers()
-    quotas = table(known)
+    quotas = new_quota_table(known)
     reported = [0, *[720] * 16]
     known.merge(digest(address(1), spent={"assessors": reported}), 20.0)
     refusal = quotas.admit(organisation(), 100, 20.0)
     assert refusal is not None
-    assert refusal.clause is Clause.WINDOW
-    after_loss = SpendTable(peers(), LITTLE_SLACK, started=0.0, has_past=True)
+    assert refusal.rule is LimitRule.WINDOW
+    after_loss = QuotaTable(peers(), SMALL_SLACK, started_at=0.0, has_predecessor=True)
     refusal = after_loss.admit(organisation(), 3000, 0.1)
     assert refusal is not None
-    assert refusal.clause is Clause.BOUND
+    assert refusal.rule is LimitRule.HARD_LIMIT
     refusal = quotas.admit(organisation(), 3000, 20.0 + 2 * FRESH_S)
     assert refusal is not None
-    assert refusal.clause is Clause.SILENT
+    assert refusal.rule is LimitRule.SILENT_PEERS
 
 
 def test_usage_of_peers_counts() -> None:
     known = peers()
-    quotas = table(known)
+    quotas = new_quota_table(known)
     known.merge(digest(address(1), spent={"assessors": [0, 12_000]}), 20.0)
     assert quotas.admit(organisation(), 600, 20.0) is not None
 
 
 def test_usage_of_an_ended_incarnation_counts_until_it_leaves_the_window() -> None:
     known = peers()
-    quotas = table(known)
+    quotas = new_quota_table(known)
     known.merge(digest(address(1), spent={"assessors": [12_000]}, age_s=50.0), 20.0)
     update = known.merge(digest(address(1), incarnation=2, age_s=0.1), 20.5)
     assert update.previous is not None
-    quotas.keep_ended([update.previous])
+    quotas.keep_ended_peers([update.previous])
     assert quotas.admit(organisation(), 600, 21.0) is not None
     assert quotas.admit(organisation(), 600, 30.0) is None
 
 
 def test_an_organisation_near_its_quota_loses_its_low_tier_first() -> None:
     known = peers()
-    quotas = table(known)
-    used = int(OWED * AIM * 0.95)
+    quotas = new_quota_table(known)
+    used = int(QUOTA * ADMIT_FACTOR * 0.95)
     evenly = [used // 16] * 16
     known.merge(digest(address(1), spent={"assessors": evenly}), 20.0)
     assert quotas.admit(organisation(), 300, 20.0, tier=2) is not None
@@ -127,15 +129,15 @@
 
 def test_near_the_quota_large_requests_are_refused_no_more_than_small_ones() -> None:
     known = peers()
-    quotas = table(known)
-    evenly = [int(OWED * AIM * 0.98) // 16] * 16
+    quotas = new_quota_table(known)
+    evenly = [int(QUOTA * ADMIT_FACTOR * 0.98) // 16] * 16
     known.merge(digest(address(1), spent={"assessors": evenly}), 20.0)
     assert quotas.admit(organisation(), 1000, 20.0) is None
 
 
 def test_refunded_tokens_can_be_used_again() -> None:
-    quotas = table()
-    spend_all(quotas, 1.0)
+    quotas = new_quota_table()
+    use_all(quotas, 1.0)
     quotas.refund(organisation(), 500, 1.0)
     assert quotas.admit(organisation(), 500, 1.0) is None
 
@@ -148,21 +150,21 @@
     and not the first counted less than was run: here 15,000 tokens of 14,500 were run, with
     4,000 refunded after 2 s.
     """
-    quotas = table()
-    queued = spend_all(quotas, 0.0)
+    quotas = new_quota_table()
+    queued = use_all(quotas, 0.0)
     usage_by_time: dict[float, int] = {}
     for step in range(1, 40):
-        now = STEP_S * step
+        now = BUCKET_S * step
         if now == 2.0:
             quotas.refund(organisation(), queued, 0.0)
-        usage_by_time[now] = spend_all(quotas, now)
+        usage_by_time[now] = use_all(quotas, now)
     assert queued == 4000
-    assert _most_in_a_window(usage_by_time) <= TOLERANCE.most(organisation())
+    assert _max_usage_in_window(usage_by_time) <= TOLERANCE.hard_limit(organisation())
 
 
 def test_a_new_entry_relies_on_the_usage_that_older_peers_report() -> None:
     known = peers()
-    quotas = table(known, has_past=True)
+    quotas = new_quota_table(known, has_predecessor=True)
     reported = digest(address(1), fleet_spent={"assessors": 12_500}, age_s=60.0)
     known.merge(reported, 1.0)
     assert quotas.admit(organisation(), 600, 1.0) is not None
@@ -174,35 +176,35 @@
     for reported in reports:
         known = peers()
         known.merge(digest(address(1), fleet_spent=reported, age_s=60.0), 0.0)
-        admitted.append(spend_all(table(known, has_past=True), 0.1))
-    assert admitted[0] < OWED * 0.25
-    assert admitted[1] > OWED * 0.35
+        admitted.append(use_all(new_quota_table(known, has_predecessor=True), 0.1))
+    assert admitted[0] < QUOTA * 0.25
+    assert admitted[1] > QUOTA * 0.35
 
 
 def test_total_usage_is_reported_only_while_a_peer_has_just_started() -> None:
     known = peers()
     known.merge(digest(address(1), age_s=60.0), 60.0)
-    quotas = table(known)
-    assert quotas.fleet(60.0) is None
+    quotas = new_quota_table(known)
+    assert quotas.total_usage(60.0) is None
     known.merge(digest(address(2), age_s=0.1), 60.1)
-    assert quotas.fleet(60.1) == {}
+    assert quotas.total_usage(60.1) == {}
 
 
 def test_after_state_loss_the_hard_limit_holds_with_a_full_window_before() -> None:
-    before = table()
-    used_before = {0.5 * step: spend_all(before, 0.5 * step) for step in range(16)}
+    before = new_quota_table()
+    used_before = {0.5 * step: use_all(before, 0.5 * step) for step in range(16)}
     last = 7.5
-    after = SpendTable(peers(), TOLERANCE, started=last + 0.5, has_past=True)
+    after = QuotaTable(peers(), TOLERANCE, started_at=last + 0.5, has_predecessor=True)
     usage_by_time = dict(used_before)
     for step in range(17):
         now = last + 0.5 + 0.5 * step
-        usage_by_time[now] = usage_by_time.get(now, 0) + spend_all(after, now)
-    assert _most_in_a_window(usage_by_time) <= TOLERANCE.most(organisation())
+        usage_by_time[now] = usage_by_time.get(now, 0) + use_all(after, now)
+    assert _max_usage_in_window(usage_by_time) <= TOLERANCE.hard_limit(organisation())
 
 
 def test_after_state_loss_some_requests_are_admitted_within_seconds() -> None:
-    after = SpendTable(peers(), TOLERANCE, started=100.0, has_past=True)
-    assert sum(spend_all(after, 100.0 + 0.5 * step) for step in range(10)) > OWED / 4
+    after = QuotaTable(peers(), TOLERANCE, started_at=100.0, has_predecessor=True)
+    assert sum(use_all(after, 100.0 + 0.5 * step) for step in range(10)) > QUOTA / 4
 
 
 @given(
@@ -215,49 +217,49 @@
     size: int, partitioned_at: int, piece: int
 ) -> None:
     """One entry is cut off from the others, and each uses all that it may."""
-    fleet = _Fleet(size)
+    fleet = _PartitionedEntries(size)
     usage_by_time: dict[float, int] = {}
     for step in range(34):
-        now = STEP_S * step
-        fleet.tell(now, together=step <= partitioned_at)
-        usage_by_time[now] = fleet.spend(now, piece)
-    assert _most_in_a_window(usage_by_time) <= TOLERANCE.most(organisation())
+        now = BUCKET_S * step
+        fleet.send_digests(now, together=step <= partitioned_at)
+        usage_by_time[now] = fleet.use_all(now, piece)
+    assert _max_usage_in_window(usage_by_time) <= TOLERANCE.hard_limit(organisation())
 
 
-class _Fleet:
+class _PartitionedEntries:
     """Entries that exchange digests at once, or only within the sides of a partition."""
 
     def __init__(self, size: int) -> None:
         self.addresses = [address(number) for number in range(size)]
         self.peers = [PeerTable(own, ()) for own in self.addresses]
-        self.spending = [table(row) for row in self.peers]
+        self.quotas = [new_quota_table(row) for row in self.peers]
         self.number = 0
 
-    def tell(self, now: float, *, together: bool) -> None:
+    def send_digests(self, now: float, *, together: bool) -> None:
         self.number += 1
-        for index, quotas in enumerate(self.spending):
+        for index, quotas in enumerate(self.quotas):
             reported = digest(
-                self.addresses[index], number=self.number, spent=quotas.own(now)
+                self.addresses[index], number=self.number, spent=quotas.own_usage(now)
             )
             for other, table_ in enumerate(self.peers):
                 if other != index and (together or 0 not in (other, index)):
                     table_.merge(reported, now)
 
-    def spend(self, now: float, piece: int) -> int:
+    def use_all(self, now: float, piece: int) -> int:
         total = 0
-        for index, quotas in enumerate(self.spending):
-            total += spend_all(quotas, now, piece)
+        for index, quotas in enumerate(self.quotas):
+            total += use_all(quotas, now, piece)
             # Reachable peers receive it at once. Usage between two digests is covered by
             # the slack, which other tests and the benchmarks check.
-            self._tell_one(index, now)
+            self._send_digest(index, now)
         return total
 
-    def _tell_one(self, index: int, now: float) -> None:
+    def _send_digest(self, index: int, now: float) -> None:
         self.number += 1
         reported = digest(
             self.addresses[index],
             number=self.number,
-            spent=self.spending[index].own(now),
+            spent=self.quotas[index].own_usage(now),
         )
         for other, table_ in enumerate(self.peers):
             row = next(
@@ -267,7 +269,7 @@
                 table_.merge(reported, now)
 
 
-def _most_in_a_window(usage_by_time: dict[float, int]) -> float:
+def _max_usage_in_window(usage_by_time: dict[float, int]) -> float:
     starts = sorted(usage_by_time)
     return max(
         sum(
@@ -279,7 +281,7 @@
     )
 
 
-class Fleet:
+class GossipingEntries:
     """Simulated entries that report their usage to each other.
 
     They send digests at the interval for this number of entries, each at another moment.
@@ -290,79 +292,82 @@
         addresses = [address(number) for number in range(entries)]
         self.peers = [PeerTable(own, ()) for own in addresses]
         self.tables = [
-            SpendTable(peer_table, LITTLE_SLACK, started=-100.0, has_past=False)
+            QuotaTable(peer_table, SMALL_SLACK, started_at=-100.0, has_predecessor=False)
             for peer_table in self.peers
         ]
         self._addresses = addresses
         self._gap_s = max(MIN_DIGEST_INTERVAL_S, DIGEST_INTERVAL_PER_PEER_S * (entries - 1))
-        self._next = [self.rng.uniform(0, self._gap_s) for _ in addresses]
-        self._shares = [self.rng.expovariate(1) for _ in addresses]
+        self._next_digest_at = [self.rng.uniform(0, self._gap_s) for _ in addresses]
+        self._load_shares = [self.rng.expovariate(1) for _ in addresses]
         self._number = 0
 
-    def tell(self, now: float) -> None:
+    def send_digests(self, now: float) -> None:
         """Send all digests that are due to all other entries."""
-        for number, due in enumerate(self._next):
+        for number, due in enumerate(self._next_digest_at):
             if due > now:
                 continue
-            self._next[number] = now + self._gap_s
+            self._next_digest_at[number] = now + self._gap_s
             self._number += 1
             reported = digest(
                 self._addresses[number],
                 number=self._number,
                 age_s=now + 100.0,
-                spent=self.tables[number].own(now),
+                spent=self.tables[number].own_usage(now),
             )
             for other, known in enumerate(self.peers):
                 if other != number:
                     known.merge(reported, now)
 
-    def spend(self, load: float, until: float) -> list[tuple[float, int]]:
+    def use(self, load: float, until: float) -> list[tuple[float, int]]:
         """Request a multiple of the quota; return the admitted tokens, with their times."""
         admitted = []
         now = 0.0
         owner = organisation()
         while now < until:
             now += self.rng.expovariate(owner.rate * load / 50)
-            self.tell(now)
-            (table,) = self.rng.choices(self.tables, self._shares)
+            self.send_digests(now)
+            (table,) = self.rng.choices(self.tables, self._load_shares)
             tokens = max(1, int(self.rng.lognormvariate(0, 1.0) * 30))
             if table.admit(owner, tokens, now) is None:
                 admitted.append((now, tokens))
         return admitted
 
 
-class StartingFleet(Fleet):
+class StartingEntries(GossipingEntries):
     """Entries that know only some seeds at first and discover each other by digests."""
 
     def __init__(self, entries: int, seed: int) -> None:
         super().__init__(entries, seed)
         self.peers = [PeerTable(own, self._addresses[:3]) for own in self._addresses]
         self.tables = [
-            SpendTable(known, NO_SLACK, started=0.0, has_past=False) for known in self.peers
+            QuotaTable(known, NO_SLACK, started_at=0.0, has_predecessor=False)
+            for known in self.peers
         ]
         self._by_address = dict(zip(self._addresses, self.peers, strict=True))
-        self._next = [self.rng.uniform(0, MIN_DIGEST_INTERVAL_S) for _ in self._addresses]
+        self._next_digest_at = [
+            self.rng.uniform(0, MIN_DIGEST_INTERVAL_S) for _ in self._addresses
+        ]
 
-    def tell(self, now: float) -> None:
+    def send_digests(self, now: float) -> None:
         """Send all digests that are due, to the entries that the sender knows."""
-        for number, due in enumerate(self._next):
+        for number, due in enumerate(self._next_digest_at):
             if due > now:
                 continue
             table = self.peers[number]
-            self._next[number] = now + table.digest_interval_s
+            self._next_digest_at[number] = now + table.digest_interval_s
             self._number += 1
             reported = digest(
                 table.own_address,
                 number=self._number,
                 age_s=now,
-                spent=self.tables[number].own(now),
+                spent=self.tables[number].own_usage(now),
                 known=table.addresses_to_share(now),
             )
             for target in table.targets():
                 self._by_address[target].merge(reported, now)
 
 
-def worst_window(admitted: list[tuple[float, int]], window_s: float = WINDOW_S) -> int:
+def max_window_usage(admitted: list[tuple[float, int]], window_s: float = WINDOW_S) -> int:
     return max(
         sum(tokens for time, tokens in admitted if end - window_s < time <= end)
         for end, _ in admitted
@@ -375,9 +380,11 @@
 def test_a_hot_organisation_keeps_its_hard_limit_though_digests_are_old(
     entries: int, load: float, seed: int
 ) -> None:
-    admitted = Fleet(entries, seed).spend(load, until=12.0)
-    assert worst_window(admitted) <= SAFE * LITTLE_SLACK.most(organisation())
-    assert sum(tokens for time, tokens in admitted if time > 4.0) >= 0.95 * OWED
+    admitted = GossipingEntries(entries, seed).use(load, until=12.0)
+    assert max_window_usage(admitted) <= HARD_LIMIT_FRACTION * SMALL_SLACK.hard_limit(
+        organisation()
+    )
+    assert sum(tokens for time, tokens in admitted if time > 4.0) >= 0.95 * QUOTA
 
 
 @pytest.mark.parametrize(("entries", "load"), [(5, 5.0), (60, 5.0), (150, 2.0), (150, 5.0)])
@@ -390,10 +397,12 @@
     of the peers they know. Each digest contained 8 addresses of others, and a peer sent one
     every 1.5 s: most peers were not known yet.
     """
-    admitted = StartingFleet(entries, 1).spend(load, until=12.0)
-    assert worst_window(admitted, NO_SLACK.window_s) <= NO_SLACK.most(organisation())
+    admitted = StartingEntries(entries, 1).use(load, until=12.0)
+    assert max_window_usage(admitted, NO_SLACK.window_s) <= NO_SLACK.hard_limit(
+        organisation()
+    )
 
 
 def test_after_state_loss_a_low_tier_may_use_some_of_what_is_left() -> None:
-    quotas = SpendTable(peers(), LITTLE_SLACK, started=0.0, has_past=True)
+    quotas = QuotaTable(peers(), SMALL_SLACK, started_at=0.0, has_predecessor=True)
     assert quotas.admit(organisation(), 400, 0.1, tier=2) is None
--- a/tests/test_served_worth.py
+++ b/tests/test_served_worth.py
@@ -9,15 +9,15 @@
 from click.testing import CliRunner
 
 from dockreach.cli import main
-from dockreach.direct.outcomes import Ending, Outcome, Tally
+from dockreach.direct.outcomes import Outcome, OutcomeCounter, OutcomeKey
 from dockreach.metrics import Metrics
 from dockreach.served_worth import Counted, Prices, by_route, total
 
 DRAFT = "draft"
 
 
-def ending(outcome: Outcome, reason: str = "", *, back: bool = False) -> Ending:
-    return Ending(DRAFT, 0, outcome, reason, back)
+def ending(outcome: Outcome, reason: str = "", *, back: bool = False) -> OutcomeKey:
+    return OutcomeKey(DRAFT, 0, outcome, reason, back)
 
 
 def counted() -> Counted:
@@ -58,16 +58,16 @@
 
 def test_tiers_weigh_what_the_settings_say() -> None:
     found = counted()
-    found.add(Ending("chat", 2, Outcome.IN_TIME, "", False), 10, 0.0)
+    found.add(OutcomeKey("chat", 2, Outcome.IN_TIME, "", False), 10, 0.0)
     low = total(by_route(found), Prices(tiers={2: 0.1}))
     assert low < total(by_route(found), Prices())
 
 
 def metrics_page(path: Path) -> Path:
-    tally = Tally()
+    tally = OutcomeCounter()
     for _ in range(3):
-        tally.add(ending(Outcome.IN_TIME), 0.0)
-    tally.add(ending(Outcome.REFUSED, "shed"), 1.5)
+        tally.record(ending(Outcome.IN_TIME), 0.0)
+    tally.record(ending(Outcome.REFUSED, "shed"), 1.5)
     metrics = Metrics("entry-1")
     path.write_bytes(metrics.page(tally.samples())[0])
     return path
