--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -118,7 +118,7 @@
     Edit(
         "retries and resumes",
         "direct/context.py",
-        "        return self.retries.try_acquire(service, self.entries, self.now())",
+        "        return self.retry_budget.try_acquire(service, self.entry_count, self.now())",
         "        return False",
     ),
 )
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -140,20 +140,20 @@
     ),
     Edit(
         "what cannot be tried again is sent on no connection that rested",
-        "direct/forward.py",
-        "None if self._has_another_attempt else RESTED_S",
+        "direct/forwarder.py",
+        "None if self._has_another_attempt else MAX_IDLE_WITHOUT_RETRY_S",
         "None",
     ),
     Edit(
         "after a silent connection no idle one is used",
-        "direct/forward.py",
-        "                self._ctx.pool.drop_all()\n",
+        "direct/forwarder.py",
+        "                self._ctx.pool.close_all()\n",
         "                pass\n",
     ),
     Edit(
         "a request whose caller has left is not served",
         "direct/serving.py",
-        "        if conn.has_left():\n",
+        "        if conn.has_disconnected():\n",
         "        if False:\n",
     ),
     Edit(
@@ -218,8 +218,8 @@
     ),
     Edit(
         "an endpoint whose address another has costs no attempt",
-        "direct/forward.py",
-        "attempt.fate is not Fate.NOT_THERE",
+        "direct/forwarder.py",
+        "attempt.outcome is not AttemptOutcome.MISDIRECTED",
         "True",
     ),
     Edit(
@@ -339,19 +339,19 @@
     Edit(
         "others are told that the operator gave an order",
         "direct/entry.py",
-        "            orders_revision=self.emptied.revision,\n",
+        "            orders_revision=self.evacuated.revision,\n",
         "",
     ),
     Edit(
         "a request that ended its engines is not run",
-        "direct/exchange.py",
+        "direct/request_handler.py",
         "if admission is Admission.QUARANTINED:",
         "if False:",
     ),
     Edit(
         "nor is one that waits when the news comes",
-        "direct/forward.py",
-        "            if self._is_barred:\n",
+        "direct/forwarder.py",
+        "            if self._is_quarantined:\n",
         "            if False:\n",
     ),
     Edit(
@@ -482,7 +482,7 @@
     ),
     Edit(
         "an organisation's regions bind, too",
-        "direct/exchange.py",
+        "direct/request_handler.py",
         "organisation.regions if organisation else frozenset()]",
         "frozenset()]",
     ),
--- a/dockreach/direct/attempt.py
+++ b/dockreach/direct/attempt.py
@@ -8,7 +8,7 @@
 from .http1 import RawHead
 
 
-class Fate(enum.StrEnum):
+class AttemptOutcome(enum.StrEnum):
     """How one upstream attempt ended."""
 
     DELIVERED = "delivered"
@@ -17,7 +17,7 @@
     NOT_SENT = "not_sent"
     """No connection could be opened."""
 
-    NOT_THERE = "not_there"
+    MISDIRECTED = "not_there"
     """Another endpoint uses the address now; it has not run the request."""
 
     NOT_RUN = "not_run"
@@ -30,7 +30,9 @@
     """No complete response arrived; the request may have run."""
 
 
-NOTHING_RAN = frozenset((Fate.NOT_SENT, Fate.NOT_THERE, Fate.NOT_RUN))
+NOT_RUN_OUTCOMES = frozenset(
+    (AttemptOutcome.NOT_SENT, AttemptOutcome.MISDIRECTED, AttemptOutcome.NOT_RUN)
+)
 
 
 @dataclass(slots=True)
@@ -38,13 +40,13 @@
     """The result of one upstream attempt.
 
     Attributes:
-        answer: Head and body of a response that was not passed on.
+        response: Head and body of a response that was not passed on.
     """
 
-    fate: Fate
+    outcome: AttemptOutcome
     endpoint: str
     detail: str = ""
-    answer: tuple[RawHead, bytes] | None = None
+    response: tuple[RawHead, bytes] | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,19 +55,21 @@
 
     Attributes:
         waited_s: Time that it waited for the slot, in seconds.
-        own: Requests of this entry in flight there, this one included.
-        others: Requests of other entries in flight there, as last reported.
+        in_flight_here: Requests of this entry in flight there, this one included.
+        in_flight_elsewhere: Requests of other entries in flight there, as last reported.
         slots: Requests that the endpoint runs concurrently.
         granted_by: IP address of the entry that granted the slot; empty if it was this one.
     """
 
     endpoint: str
     waited_s: float
-    own: int
-    others: int
+    in_flight_here: int
+    in_flight_elsewhere: int
     slots: int
     granted_by: str = ""
 
 
-NOWHERE = Placement(endpoint="", waited_s=0.0, own=0, others=0, slots=0)
+NO_PLACEMENT = Placement(
+    endpoint="", waited_s=0.0, in_flight_here=0, in_flight_elsewhere=0, slots=0
+)
 """Stands for a request that got no slot."""
--- a/dockreach/direct/caller_connection.py
+++ b/dockreach/direct/caller_connection.py
@@ -11,10 +11,17 @@
 from eventlet.green import socket
 
 from ..errors import CallerGoneError
-from .http1 import RECV_BYTES, BadRequestError, RawHead, RawRequest, receive, tune
+from .http1 import (
+    RECV_BYTES,
+    BadRequestError,
+    RawHead,
+    RawRequest,
+    receive,
+    set_socket_options,
+)
 from .routing_config import CallerLimits
 
-MOST_PIPELINED = 1 << 20
+MAX_PIPELINED_BYTES = 1 << 20
 """Bytes that a caller may pipeline before it has the current response."""
 
 
@@ -32,13 +39,13 @@
         self._http = h11.Connection(
             h11.SERVER, max_incomplete_event_size=limits.header_bytes
         )
-        self._ahead = 0
+        self._pipelined_bytes = 0
         self._method = b""
         self.is_idle = True
         self.is_closing = False
         """Whether the next response announces that the connection will be closed."""
         self.head_sent = False
-        tune(sock)
+        set_socket_options(sock)
 
     def read_request(self) -> RawRequest | None:
         """Read a complete request.
@@ -59,7 +66,7 @@
             with eventlet.Timeout(
                 self._limits.header_timeout_s, BadRequestError(408, "too slow")
             ):
-                return self._read_whole()
+                return self._read_message()
         except h11.RemoteProtocolError as exc:
             raise BadRequestError(exc.error_status_hint, str(exc)) from exc
         except OSError:
@@ -79,7 +86,7 @@
             self._http.receive_data(data)
         return bool(data)
 
-    def _read_whole(self) -> RawRequest | None:
+    def _read_message(self) -> RawRequest | None:
         head: h11.Request | None = None
         parts: list[bytes] = []
         size = 0
@@ -91,14 +98,14 @@
             elif isinstance(event, h11.Request):
                 head = event
                 self._method = head.method
-                self._check(head)
+                self._check_framing(head)
             elif isinstance(event, h11.Data):
                 parts.append(bytes(event.data))
                 size += len(event.data)
                 if size > self._limits.body_bytes:
                     raise BadRequestError(413, "body too large")
             elif isinstance(event, h11.EndOfMessage) and head is not None:
-                return _raw(head, b"".join(parts))
+                return _raw_request(head, b"".join(parts))
             else:
                 return None
 
@@ -110,7 +117,7 @@
         self._http.receive_data(data)
         return bool(data)
 
-    def _check(self, head: h11.Request) -> None:
+    def _check_framing(self, head: h11.Request) -> None:
         """Refuse ambiguous framing, which an intermediary may parse differently."""
         names = [name for name, _ in head.headers]
         if b"transfer-encoding" in names and b"content-length" in names:
@@ -118,24 +125,24 @@
         if names.count(b"host") > 1:
             raise BadRequestError(400, "more than one Host header")
 
-    def watch(self) -> None:
+    def wait_for_disconnect(self) -> None:
         """Read until the caller closes the connection; buffer pipelined data.
 
         Also returns when the caller has pipelined too much.
         """
-        while self._ahead < MOST_PIPELINED:
+        while self._pipelined_bytes < MAX_PIPELINED_BYTES:
             try:
                 data = receive(self._sock)
             except OSError:
                 return
             if not data:
                 return
-            self._keep_ahead(data)
+            self._buffer_pipelined(data)
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Return whether the caller has closed the connection; buffer pipelined data."""
         raw_sock = self._sock.fd
-        while self._ahead < MOST_PIPELINED:
+        while self._pipelined_bytes < MAX_PIPELINED_BYTES:
             try:
                 data = raw_sock.recv(RECV_BYTES)
             except BlockingIOError:
@@ -144,11 +151,11 @@
                 return True
             if not data:
                 return True
-            self._keep_ahead(data)
+            self._buffer_pipelined(data)
         return True
 
-    def _keep_ahead(self, data: bytes) -> None:
-        self._ahead += len(data)
+    def _buffer_pipelined(self, data: bytes) -> None:
+        self._pipelined_bytes += len(data)
         self._http.receive_data(data)
 
     def send_head(self, head: RawHead) -> None:
@@ -174,7 +181,7 @@
         if data:
             self._send(h11.Data(data=data))
 
-    def send_whole(self, head: RawHead, body: bytes) -> None:
+    def send_response(self, head: RawHead, body: bytes) -> None:
         """Send a complete response, with its length.
 
         Raises:
@@ -202,9 +209,9 @@
         except OSError as exc:
             raise CallerGoneError(f"caller closed its connection: {exc}") from exc
 
-    def next_request(self) -> bool:
+    def prepare_next_request(self) -> bool:
         """Prepare for another request; return whether the connection allows one."""
-        self._ahead = 0
+        self._pipelined_bytes = 0
         done = self._http.our_state is h11.DONE and self._http.their_state is h11.DONE
         if not done or self.is_closing:
             return False
@@ -226,7 +233,7 @@
         self._sock.close()
 
 
-def _raw(head: h11.Request, body: bytes) -> RawRequest:
+def _raw_request(head: h11.Request, body: bytes) -> RawRequest:
     names = [name for name, _ in head.headers]
     has_body = b"content-length" in names or b"transfer-encoding" in names
     return RawRequest(head.method, head.target, head.headers.raw_items(), body, has_body)
--- a/dockreach/direct/context.py
+++ b/dockreach/direct/context.py
@@ -8,12 +8,12 @@
 from .. import clock
 from ..metrics import Metrics
 from .crash_reporter import CrashReporter
-from .dialect import Dialect
 from .endpoints import EndpointTable
 from .first_attempts import FirstAttemptEstimator
 from .notice_tracker import NoticeTracker
 from .outcomes import OutcomeCounter
 from .pool import ConnectionPool
+from .protocol_adapter import ProtocolAdapter
 from .retry_budget import RetryBudget
 from .scheduling import Scheduler
 from .token_quota import QuotaTable
@@ -38,32 +38,34 @@
 class Context:
     """State of an entry that all its requests share."""
 
-    dialect: Dialect
+    adapter: ProtocolAdapter
     endpoints: EndpointTable
     scheduler: Scheduler
-    spending: QuotaTable
-    retries: RetryBudget
+    quotas: QuotaTable
+    retry_budget: RetryBudget
     pool: ConnectionPool
     metrics: Metrics
     crashes: CrashReporter
     notices: NoticeTracker
     counters: Counters = field(default_factory=Counters)
-    tally: OutcomeCounter = field(default_factory=OutcomeCounter)
-    first_tries: FirstAttemptEstimator = field(default_factory=FirstAttemptEstimator)
-    entries: int = 1
+    outcomes: OutcomeCounter = field(default_factory=OutcomeCounter)
+    first_attempts: FirstAttemptEstimator = field(default_factory=FirstAttemptEstimator)
+    entry_count: int = 1
     """Number of entries that may be running, this one included."""
-    regions: Mapping[str, str] = field(default_factory=dict)
+    region_of_hall: Mapping[str, str] = field(default_factory=dict)
     """The region of each data hall."""
 
     def halls_in(self, regions: frozenset[str]) -> frozenset[str]:
         """Return the data halls that are in any of some regions."""
-        return frozenset(hall for hall, region in self.regions.items() if region in regions)
+        return frozenset(
+            hall for hall, region in self.region_of_hall.items() if region in regions
+        )
 
     @staticmethod
     def now() -> float:
         """Return the monotonic time, in seconds."""
         return clock.now()
 
-    def take_retry(self, service: str) -> bool:
+    def try_acquire_retry(self, service: str) -> bool:
         """Take one retry from a service's budget; return whether there was one left."""
-        return self.retries.try_acquire(service, self.entries, self.now())
+        return self.retry_budget.try_acquire(service, self.entry_count, self.now())
--- a/dockreach/direct/crash_reporter.py
+++ b/dockreach/direct/crash_reporter.py
@@ -240,7 +240,7 @@
         except ConnectError:
             return True
         eventlet.sleep(PROXY_CLOSE_S)
-        is_open = conn.is_quiet()
+        is_open = conn.is_open_and_idle()
         conn.close()
         return not is_open
 
--- a/dockreach/direct/endpoint_connection.py
+++ b/dockreach/direct/endpoint_connection.py
@@ -8,14 +8,14 @@
 import h11
 from eventlet.green import socket
 
-from .http1 import AnswerError, ConnectError, RawHead, receive, tune
+from .http1 import ConnectError, RawHead, ResponseError, receive, set_socket_options
 from .requests import Header
 
-INLINE_BYTES = 8192
+MAX_INLINE_BYTES = 8192
 """Requests up to this size are written before the response is read. Longer ones may fill
 the connection's window, and an endpoint may respond before it has read them."""
 
-ANSWER_HEAD_BYTES = 65536
+MAX_RESPONSE_HEAD_BYTES = 65536
 """Largest head of a response."""
 
 
@@ -24,31 +24,31 @@
 
     Args:
         address: IP address and port.
-        connect_s: Connect timeout, in seconds.
+        connect_timeout_s: Connect timeout, in seconds.
 
     Raises:
         ConnectError: The connection could not be opened.
     """
 
-    def __init__(self, address: str, connect_s: float) -> None:
+    def __init__(self, address: str, connect_timeout_s: float) -> None:
         ip, _, port = address.rpartition(":")
         self.address = address
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
-            self._sock.settimeout(connect_s)
+            self._sock.settimeout(connect_timeout_s)
             self._sock.connect((ip, int(port)))
             self._sock.settimeout(None)
-            tune(self._sock)
+            set_socket_options(self._sock)
         except OSError as exc:
             self._sock.close()
             raise ConnectError(f"{address}: {exc}") from exc
-        self._http = _client()
+        self._http = _new_http_client()
         self._request = h11.Request(method="GET", target="/", headers=[("Host", "-")])
         self._writer: Any = None
         self._is_written = True
         self.is_framed = True
         """Whether the response's end can be distinguished from that of the connection."""
-        self.was_kept = False
+        self.was_reused = False
         """Whether an earlier request on this connection was answered."""
         self._is_aborted = False
 
@@ -74,12 +74,12 @@
             data += self._http.send(h11.Data(data=body)) or b""
         data += self._http.send(h11.EndOfMessage()) or b""
         self._is_written = False
-        if len(data) > INLINE_BYTES:
+        if len(data) > MAX_INLINE_BYTES:
             self._writer = eventlet.spawn(self._write, data)
             return
         self._write(data)
         if not self._is_written:
-            raise AnswerError(f"{self.address}: connection broke while sending")
+            raise ResponseError(f"{self.address}: connection broke while sending")
 
     def _write(self, data: bytes) -> None:
         try:
@@ -89,7 +89,7 @@
             # The reader finds the broken connection, or a response that was sent early.
             self._is_written = False
 
-    def limit_silence(self, seconds: float | None) -> None:
+    def set_read_timeout(self, seconds: float | None) -> None:
         """Set the read timeout; ``None`` waits forever."""
         self._sock.settimeout(seconds)
 
@@ -105,7 +105,7 @@
                 self.is_framed = _is_framed(event, self._request.method)
                 return RawHead(event.status_code, event.reason, event.headers.raw_items())
             if not isinstance(event, h11.InformationalResponse):
-                raise AnswerError(f"{self.address}: closed without a response")
+                raise ResponseError(f"{self.address}: closed without a response")
 
     def read_data(self) -> bytes | None:
         """Read a part of the body; ``None`` at its end.
@@ -118,11 +118,11 @@
             return bytes(event.data)
         return None
 
-    def read_body(self, most_bytes: int) -> bytes:
+    def read_body(self, max_bytes: int) -> bytes:
         """Read a complete body.
 
         Args:
-            most_bytes: Maximum size of the body.
+            max_bytes: Maximum size of the body.
 
         Raises:
             ResponseError: The body was truncated, or is too large.
@@ -132,11 +132,11 @@
         while (data := self.read_data()) is not None:
             parts.append(data)
             size += len(data)
-            if size > most_bytes:
-                raise AnswerError(f"{self.address}: response over {most_bytes} bytes")
+            if size > max_bytes:
+                raise ResponseError(f"{self.address}: response over {max_bytes} bytes")
         return b"".join(parts)
 
-    def skip_answer(self) -> None:
+    def skip_response(self) -> None:
         """Skip the body of a late response to an earlier request.
 
         The HTTP state starts anew as if the current request had just been sent.
@@ -147,7 +147,7 @@
         while self.read_data() is not None:
             pass
         rest, closed = self._http.trailing_data
-        self._http = _client()
+        self._http = _new_http_client()
         bare = h11.Request(method=self._request.method, target="/", headers=[("Host", "-")])
         self._http.send(bare)
         self._http.send(h11.EndOfMessage())
@@ -163,13 +163,13 @@
                     return event
                 self._http.receive_data(self._receive())
         except (h11.RemoteProtocolError, OSError) as exc:
-            raise AnswerError(f"{self.address}: {exc}") from exc
+            raise ResponseError(f"{self.address}: {exc}") from exc
 
     def _receive(self) -> bytes:
         data = receive(self._sock)
         if self._is_aborted:
             # A response without a length would otherwise seem to be complete here.
-            raise AnswerError(f"{self.address}: the endpoint's incarnation has ended")
+            raise ResponseError(f"{self.address}: the endpoint's incarnation has ended")
         return data
 
     def abort(self) -> None:
@@ -189,10 +189,10 @@
         if not both_done or not self._is_written or self._http.trailing_data[0]:
             return False
         self._http.start_next_cycle()
-        self.was_kept = True
+        self.was_reused = True
         return True
 
-    def is_quiet(self) -> bool:
+    def is_open_and_idle(self) -> bool:
         """Return whether an idle connection is open and has received nothing."""
         raw_sock = self._sock.fd
         raw_sock.setblocking(False)
@@ -218,5 +218,5 @@
     return bool(names & {b"content-length", b"transfer-encoding"})
 
 
-def _client() -> h11.Connection:
-    return h11.Connection(h11.CLIENT, max_incomplete_event_size=ANSWER_HEAD_BYTES)
+def _new_http_client() -> h11.Connection:
+    return h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_RESPONSE_HEAD_BYTES)
--- a/dockreach/direct/endpoint_sync.py
+++ b/dockreach/direct/endpoint_sync.py
@@ -61,7 +61,7 @@
             row.lapsed_until = row.lapsed_until or clock.now() + LAPSE_GRACE_S
             return
         if self._ctx.endpoints.remove(endpoint):
-            self._ctx.pool.drop(row.published.address)
+            self._ctx.pool.close_idle(row.published.address)
             log(Event.ENDPOINT_GONE, endpoint=endpoint, under_way=row.in_flight_here)
             self._ctx.crashes.handle_incarnation_end(row)
 
@@ -94,4 +94,4 @@
         self._ctx.crashes.handle_incarnation_end(row)
         for conn in list(row.conns):
             conn.abort()
-        self._ctx.pool.drop(row.published.address)
+        self._ctx.pool.close_idle(row.published.address)
--- a/dockreach/direct/entry.py
+++ b/dockreach/direct/entry.py
@@ -21,7 +21,6 @@
 from .coordinator_selection import CoordinatorSelector
 from .crash_reporter import CrashReporter
 from .datagrams import Message
-from .dialect import Dialect
 from .digest import Address, CrashUpdate, Digest
 from .dispatching import Dispatcher
 from .endpoint_selection import EndpointSelector, SelectionPolicy
@@ -37,6 +36,7 @@
 from .notice_tracker import NoticeTracker
 from .peers import PeerTable
 from .pool import ConnectionPool
+from .protocol_adapter import ProtocolAdapter
 from .quarantine import QUARANTINED_REFUSAL, RequestQuarantine
 from .readers import CONFIGURATION, ENDPOINTS, EVACUATIONS, ReaderSelector
 from .relayed_notice import NoticeUpdate
@@ -53,17 +53,17 @@
 from .view import View
 from .view_sync import KnownRevisions, ViewSync
 
-CONNECT_S = 0.4
+CONNECT_TIMEOUT_S = 0.4
 """Connect timeout for an endpoint, in seconds: a hundred round trips."""
 
-KNOW_S = 0.4
+STARTUP_WAIT_S = 0.4
 """How long callers that connect during startup wait for a configuration, in seconds. After
 that they are refused with a retry time."""
 
-KNOW_CHECK_S = 0.005
+STARTUP_POLL_INTERVAL_S = 0.005
 """Interval at which startup checks for a configuration, in seconds."""
 
-ROUND_S = 0.1
+MAINTENANCE_INTERVAL_S = 0.1
 """Interval between maintenance rounds, which expire outdated state, in seconds."""
 
 
@@ -72,16 +72,16 @@
 
     Args:
         settings: Settings at the start.
-        dialect: Translates the platform's requests and responses.
-        choice: Policy by which endpoints are selected.
+        adapter: Translates the platform's requests and responses.
+        policy: Policy by which endpoints are selected.
         listener: Socket to which callers connect already; `start` opens one if omitted.
     """
 
     def __init__(
         self,
         settings: EntrySettings,
-        dialect: Dialect,
-        choice: SelectionPolicy = SelectionPolicy.MEASURED,
+        adapter: ProtocolAdapter,
+        policy: SelectionPolicy = SelectionPolicy.MEASURED,
         *,
         listener: socket.socket | None = None,
     ) -> None:
@@ -91,70 +91,74 @@
         self.started = clock.now()
         self.revision: ConfigRevision | None = None
         self.stopping_since: float | None = None
-        self._fleet_revision = 0
+        self._endpoints_revision = 0
         self._has_endpoints = False
-        self._dialect = dialect
+        self._adapter = adapter
         self._incarnation = secrets.randbits(63)
-        self._number = 0
+        self._digest_number = 0
         self.feeds = Feeds()
         self.endpoints = EndpointTable()
-        self.emptied = EvacuatedHalls(self.endpoints)
+        self.evacuated = EvacuatedHalls(self.endpoints)
         self.peers = PeerTable(settings.gossip, settings.seeds)
         self.gossip = Gossip(
             settings.gossip, self.peers, self._make_digest, self._on_message
         )
-        self._coordinators = CoordinatorSelector(
+        self._coordinator_selector = CoordinatorSelector(
             self.peers,
             capacity=settings.capacity,
             started_at=self.started,
-            is_independent=choice is SelectionPolicy.PLAIN or not settings.is_coordinated,
-            has_clients=self._is_asked,
+            is_independent=policy is SelectionPolicy.PLAIN or not settings.is_coordinated,
+            has_clients=self._has_slot_clients,
+        )
+        self.send_guard = SendGuard(
+            self._coordinator_selector, self.endpoints, settings.cold_tolerance
+        )
+        chooser = EndpointSelector(
+            self.endpoints, settings.hall, policy, guard=self.send_guard
         )
-        self.guard = SendGuard(self._coordinators, self.endpoints, settings.cold)
-        chooser = EndpointSelector(self.endpoints, settings.hall, choice, guard=self.guard)
         self.dispatcher = Dispatcher(self.endpoints, chooser)
-        self.asker = SlotClient(
+        self.slot_client = SlotClient(
             settings.gossip,
             self._incarnation,
-            self._coordinators,
+            self._coordinator_selector,
             self.endpoints,
-            self.guard,
+            self.send_guard,
         )
-        self.granter = SlotServer(
-            settings.gossip, self.dispatcher, self.endpoints, self._route_named
+        self.slot_server = SlotServer(
+            settings.gossip, self.dispatcher, self.endpoints, self._find_route
         )
         self._readers = ReaderSelector(self.peers, settings.hall)
-        self._helping = ViewSync(
-            self.peers, settings.hall, self._knowledge, self._take_view
+        self._view_sync = ViewSync(
+            self.peers, settings.hall, self._known_revisions, self._apply_view
         )
         scheduler = Scheduler(
             self.dispatcher,
-            self.asker,
-            self.granter,
+            self.slot_client,
+            self.slot_server,
             self.gossip.send,
             self.gossip.send_soon,
         )
         self.ctx = Context(
-            dialect=dialect,
+            adapter=adapter,
             endpoints=self.endpoints,
             scheduler=scheduler,
-            spending=QuotaTable(
+            quotas=QuotaTable(
                 self.peers,
-                settings.tolerance,
+                settings.quota_tolerance,
                 started_at=self.started,
-                has_predecessor=settings.has_past,
+                has_predecessor=settings.has_predecessor,
             ),
-            retries=RetryBudget(settings.retries),
-            pool=ConnectionPool(CONNECT_S),
+            retry_budget=RetryBudget(settings.retry_policy),
+            pool=ConnectionPool(CONNECT_TIMEOUT_S),
             metrics=Metrics(settings.name),
-            regions=settings.regions,
+            region_of_hall=settings.region_of_hall,
             crashes=CrashReporter(
-                RequestQuarantine(clock.now, self._is_trier),
+                RequestQuarantine(clock.now, self._is_probe_owner),
                 self.endpoints,
                 self.gossip.send_all,
                 clock.now,
-                CONNECT_S,
-                self._refuse_barred,
+                CONNECT_TIMEOUT_S,
+                self._refuse_quarantined,
             ),
             notices=NoticeTracker(
                 self.endpoints,
@@ -164,7 +168,7 @@
                 clock.now,
             ),
         )
-        self._listing = EndpointSync(self.ctx)
+        self._endpoint_sync = EndpointSync(self.ctx)
         self.callers = CallerServer(self)
 
     def start(self) -> None:
@@ -178,9 +182,9 @@
         self._listen(settings.gossip, partial(serve_page, page=pages.view))
         if settings.metrics is not None:
             self._listen(settings.metrics, partial(serve_page, page=pages.metrics))
-        self._helping.start()
-        eventlet.spawn(run_forever, self._round)
-        log(Event.STARTED, daemon_hall=settings.hall, has_past=settings.has_past)
+        self._view_sync.start()
+        eventlet.spawn(run_forever, self._run_maintenance)
+        log(Event.STARTED, daemon_hall=settings.hall, has_past=settings.has_predecessor)
 
     @staticmethod
     def _listen(address: Address, serve: Callable[[Any], None]) -> None:
@@ -188,26 +192,26 @@
 
     def _accept_callers(self, listener: socket.socket) -> None:
         """Accept callers once the entry can serve them, or refuse them after a timeout."""
-        deadline = self.started + KNOW_S
-        while clock.now() < deadline and not self._knows_enough:
-            eventlet.sleep(KNOW_CHECK_S)
+        deadline = self.started + STARTUP_WAIT_S
+        while clock.now() < deadline and not self._is_ready_for_callers:
+            eventlet.sleep(STARTUP_POLL_INTERVAL_S)
         accept_all(listener, self.callers.serve)
 
-    def apply(self, settings: EntrySettings) -> None:
+    def apply_settings(self, settings: EntrySettings) -> None:
         """Apply changed settings; addresses and names stay until a restart."""
         self.settings = replace(
             self.settings,
             seeds=settings.seeds,
             grace_s=settings.grace_s,
-            tolerance=settings.tolerance,
-            retries=settings.retries,
-            in_force_s=settings.in_force_s,
-            cold=settings.cold,
+            quota_tolerance=settings.quota_tolerance,
+            retry_policy=settings.retry_policy,
+            apply_deadline_s=settings.apply_deadline_s,
+            cold_tolerance=settings.cold_tolerance,
         )
-        self.guard.tolerance = settings.cold
+        self.send_guard.tolerance = settings.cold_tolerance
         self.peers.seeds = settings.seeds
-        self.ctx.spending.tolerance = settings.tolerance
-        self.ctx.retries.policy = settings.retries
+        self.ctx.quotas.tolerance = settings.quota_tolerance
+        self.ctx.retry_budget.policy = settings.retry_policy
         log(Event.SETTINGS_IN_FORCE, seeds=len(settings.seeds))
 
     @property
@@ -217,39 +221,39 @@
         return is_configured and self.stopping_since is None
 
     @property
-    def _knows_enough(self) -> bool:
+    def _is_ready_for_callers(self) -> bool:
         """Whether callers that wait during startup gain nothing from waiting longer."""
-        return self.is_ready and not self.ctx.spending.is_discovering_peers(clock.now())
+        return self.is_ready and not self.ctx.quotas.is_discovering_peers(clock.now())
 
     # State that the platform publishes.
 
-    def take_revision(self, revision: ConfigRevision, source: str) -> bool:
+    def apply_revision(self, revision: ConfigRevision, source: str) -> bool:
         """Apply a configuration if it is newer; return whether it was applied."""
         if self.revision is not None and revision.number <= self.revision.number:
             return False
         self.revision = revision
-        self.guard.apply_services(revision.services)
-        self.ctx.first_tries.keep_only({route.name for route in revision.routes})
+        self.send_guard.apply_services(revision.services)
+        self.ctx.first_attempts.keep_only({route.name for route in revision.routes})
         log(Event.CONFIG_IN_FORCE, revision=revision.number, source=source)
         self.gossip.send_soon()
         return True
 
-    def take_endpoint(self, published: Published) -> None:
+    def apply_endpoint(self, published: Published) -> None:
         """Add an endpoint, or replace its published state."""
-        self._listing.apply(published)
+        self._endpoint_sync.apply(published)
 
-    def take_emptied(self, halls: frozenset[str], orders_revision: int) -> None:
+    def apply_evacuations(self, halls: frozenset[str], orders_revision: int) -> None:
         """Send no more requests to the endpoints of evacuated data halls.
 
         Args:
             halls: All data halls that the operator wants evacuated.
             orders_revision: The platform's revision up to which commands were read.
         """
-        if self.emptied.apply(halls, orders_revision, clock.now()):
+        if self.evacuated.apply(halls, orders_revision, clock.now()):
             self.gossip.send_soon()
         self.ctx.scheduler.run_round()
 
-    def lose_endpoint(self, endpoint: str, *, after_outage: bool = False) -> None:
+    def remove_endpoint(self, endpoint: str, *, after_outage: bool = False) -> None:
         """Remove an endpoint that the platform no longer lists.
 
         Args:
@@ -257,29 +261,37 @@
             after_outage: Whether its registration may only have lapsed during a platform
                 outage; it is then kept for a grace period.
         """
-        self._listing.remove(endpoint, after_outage=after_outage)
+        self._endpoint_sync.remove(endpoint, after_outage=after_outage)
 
-    def take_all(
-        self, published: list[Published], fleet_revision: int, *, after_outage: bool = False
+    def replace_endpoints(
+        self,
+        published: list[Published],
+        endpoints_revision: int,
+        *,
+        after_outage: bool = False,
     ) -> None:
         """Replace the list of endpoints.
 
         Args:
             published: All endpoints that the platform lists.
-            fleet_revision: The platform's revision of the list.
+            endpoints_revision: The platform's revision of the list.
             after_outage: Whether records of running endpoints may be missing.
         """
-        self._listing.apply_all(published, after_outage=after_outage)
-        self.reached(fleet_revision)
+        self._endpoint_sync.apply_all(published, after_outage=after_outage)
+        self.record_endpoints_revision(endpoints_revision)
 
-    def _knowledge(self) -> KnownRevisions:
+    def _known_revisions(self) -> KnownRevisions:
         revision = self.revision.number if self.revision else 0
         now = clock.now()
         age_s = self.feeds.endpoints.age_s(now, self.started)
-        is_cut_off = age_s > OUTAGE_FRACTION * self.settings.in_force_s
+        is_cut_off = age_s > OUTAGE_FRACTION * self.settings.apply_deadline_s
         is_reader = self._readers.is_reader(now)
         return KnownRevisions(
-            revision, self._fleet_revision, is_cut_off, is_reader, self.emptied.revision
+            revision,
+            self._endpoints_revision,
+            is_cut_off,
+            is_reader,
+            self.evacuated.revision,
         )
 
     def view(self) -> View:
@@ -292,32 +304,32 @@
         return View(
             number,
             text,
-            self._fleet_revision,
+            self._endpoints_revision,
             published,
             lapsed,
             emptied,
-            self.emptied.revision,
+            self.evacuated.revision,
         )
 
-    def _take_view(self, view: View, peer: str) -> None:
+    def _apply_view(self, view: View, peer: str) -> None:
         """Apply those parts of a peer's view that are newer than this entry's state."""
-        if view.revision > self._knowledge().revision:
+        if view.revision > self._known_revisions().revision:
             try:
-                self.take_revision(self._dialect.read_revision(view.text), peer)
+                self.apply_revision(self._adapter.read_revision(view.text), peer)
             except RevisionError as exc:
                 log(Event.CONFIG_REFUSED, str(exc), source=peer)
         if view.orders_revision:
-            self.take_emptied(frozenset(view.evacuated), view.orders_revision)
-        if view.endpoints_revision > self._fleet_revision and view.endpoints:
+            self.apply_evacuations(frozenset(view.evacuated), view.orders_revision)
+        if view.endpoints_revision > self._endpoints_revision and view.endpoints:
             log(Event.VIEW_TAKEN, peer=peer, fleet_revision=view.endpoints_revision)
-            self.take_all(view.endpoints, view.endpoints_revision)
+            self.replace_endpoints(view.endpoints, view.endpoints_revision)
             for endpoint in view.lapsed:
-                self.lose_endpoint(endpoint, after_outage=True)
+                self.remove_endpoint(endpoint, after_outage=True)
 
-    def reached(self, fleet_revision: int) -> None:
+    def record_endpoints_revision(self, endpoints_revision: int) -> None:
         """Record the platform's revision up to which endpoints were read."""
-        if fleet_revision > self._fleet_revision:
-            self._fleet_revision = fleet_revision
+        if endpoints_revision > self._endpoints_revision:
+            self._endpoints_revision = endpoints_revision
             self.gossip.send_soon()
         if not self._has_endpoints:
             self._has_endpoints = True
@@ -327,7 +339,7 @@
 
     def _make_digest(self) -> Digest:
         now = clock.now()
-        self._number += 1
+        self._digest_number += 1
         in_flight = {
             row.id: row.in_flight_here for row in self.endpoints if row.in_flight_here
         }
@@ -335,20 +347,20 @@
             name=self.settings.name,
             address=self.settings.gossip,
             incarnation=self._incarnation,
-            number=self._number,
+            number=self._digest_number,
             age_s=now - self.started,
             leaving=self.stopping_since is not None,
             revision=self.revision.number if self.revision else 0,
-            endpoints_revision=self._fleet_revision,
+            endpoints_revision=self._endpoints_revision,
             in_flight=in_flight,
-            used=self.ctx.spending.report(now),
-            fleet_used=self.ctx.spending.total_usage(now),
+            used=self.ctx.quotas.report(now),
+            fleet_used=self.ctx.quotas.total_usage(now),
             known_peers=self.peers.addresses_to_share(now - self.started),
             capacity=self.settings.capacity,
             hall=self.settings.hall,
             configuration_age_s=self.feeds.configuration.age_s(now, -math.inf),
             endpoints_age_s=self.feeds.endpoints.age_s(now, -math.inf),
-            orders_revision=self.emptied.revision,
+            orders_revision=self.evacuated.revision,
             crash_reports=self.ctx.crashes.quarantine.next_reports(),
             notices=self.ctx.notices.next_notices(),
         )
@@ -359,19 +371,19 @@
         Args:
             feed: The part of the published state that would be polled.
         """
-        known = self._knowledge()
+        known = self._known_revisions()
         if feed is self.feeds.configuration:
             parts = {CONFIGURATION: known.revision, EVACUATIONS: known.orders_revision}
         else:
             parts = {ENDPOINTS: known.endpoints_revision}
         now = clock.now()
-        in_force_s = self.settings.in_force_s
+        in_force_s = self.settings.apply_deadline_s
         return all(
             self._readers.may_skip_call(part, feed, revision, in_force_s, now)
             for part, revision in parts.items()
         )
 
-    def _route_named(self, name: str) -> Route | None:
+    def _find_route(self, name: str) -> Route | None:
         return self.revision.routes_by_name.get(name) if self.revision else None
 
     @singledispatchmethod
@@ -405,66 +417,74 @@
         self.ctx.crashes.merge(digest.crash_reports)
         self.ctx.notices.merge(digest.notices, digest.name)
         if previous is None or previous.digest.incarnation != digest.incarnation:
-            self._greet(digest.address)
+            self._send_startup_report(digest.address)
         if previous is None:
             log(Event.PEER_UP, peer=digest.name)
         elif previous.digest.incarnation != digest.incarnation:
-            self.ctx.spending.keep_ended_peers([previous])
+            self.ctx.quotas.keep_ended_peers([previous])
         # The requests of a silent peer are not counted, so they are not subtracted either.
         was_counted = previous is not None and self.peers.is_fresh(previous, now)
-        old = self._counted(previous.digest) if previous is not None and was_counted else {}
-        if self.endpoints.replace_peer_in_flight(old, self._counted(digest)):
+        old = (
+            self._in_flight_not_granted_here(previous.digest)
+            if previous is not None and was_counted
+            else {}
+        )
+        if self.endpoints.replace_peer_in_flight(
+            old, self._in_flight_not_granted_here(digest)
+        ):
             self.ctx.scheduler.run_round()
 
-    def _is_trier(self, fingerprint: bytes) -> bool:
+    def _is_probe_owner(self, fingerprint: bytes) -> bool:
         """Return whether this entry, of all fresh ones, probes a quarantined request."""
         own = self.settings.gossip
         peers = [row.digest.address for row in self.peers.fresh(clock.now())]
         names = [f"{row.ip}:{row.port}" for row in (own, *peers)]
         return choose(fingerprint.hex(), names) == names[0]
 
-    def _refuse_barred(self, fingerprint: bytes) -> None:
+    def _refuse_quarantined(self, fingerprint: bytes) -> None:
         """Refuse at once all waiting copies of a request that was quarantined."""
         self.ctx.scheduler.refuse(fingerprint, QUARANTINED_REFUSAL)
 
-    def _greet(self, peer: Address) -> None:
+    def _send_startup_report(self, peer: Address) -> None:
         """Report the requests that must not run to an entry that has just started."""
         report = self.ctx.crashes.startup_report()
         if report is not None:
             self.gossip.send(report, peer)
 
-    def _counted(self, digest: Digest) -> dict[str, int]:
+    def _in_flight_not_granted_here(self, digest: Digest) -> dict[str, int]:
         """Return a peer's requests in flight, except in slots that this entry granted."""
         return {
             endpoint: count
             for endpoint, count in digest.in_flight.items()
-            if not self._gives_places(digest.address, endpoint)
+            if not self._grants_slots(digest.address, endpoint)
         }
 
-    def _is_asked(self, service: str) -> bool:
-        return self.granter.has_clients(service)
+    def _has_slot_clients(self, service: str) -> bool:
+        return self.slot_server.has_clients(service)
 
-    def _gives_places(self, peer: Address, endpoint: str) -> bool:
+    def _grants_slots(self, peer: Address, endpoint: str) -> bool:
         row = self.endpoints.get(endpoint)
-        return row is not None and self.granter.is_client(peer, row.published.service)
+        return row is not None and self.slot_server.is_client(peer, row.published.service)
 
-    def _count_others(self, now: float) -> None:
+    def _recount_in_flight(self, now: float) -> None:
         """Recount the peers' requests in flight, without those of peers now silent."""
-        self.endpoints.set_in_flight_elsewhere(self.peers.in_flight(now, self._counted))
-        self.ctx.entries = len(self.peers) + 1
+        self.endpoints.set_in_flight_elsewhere(
+            self.peers.in_flight(now, self._in_flight_not_granted_here)
+        )
+        self.ctx.entry_count = len(self.peers) + 1
         self.ctx.scheduler.refresh_coordinators()
 
-    def _round(self) -> None:
-        eventlet.sleep(ROUND_S)
+    def _run_maintenance(self) -> None:
+        eventlet.sleep(MAINTENANCE_INTERVAL_S)
         now = clock.now()
         expired = self.peers.expire(now)
-        self.ctx.spending.keep_ended_peers(expired)
+        self.ctx.quotas.keep_ended_peers(expired)
         for row in expired:
             log(Event.PEER_DOWN, peer=row.digest.name)
-        self._listing.expire_lapsed(now)
+        self._endpoint_sync.expire_lapsed(now)
         self.ctx.notices.expire(now)
         self.ctx.pool.expire()
-        self._count_others(now)
+        self._recount_in_flight(now)
 
     def stop(self) -> bool:
         """Accept no new callers, and finish the requests in flight.
@@ -476,7 +496,7 @@
         if self.stopping_since is not None:
             return False
         self.stopping_since = clock.now()
-        self._coordinators.is_leaving = True
+        self._coordinator_selector.is_leaving = True
         log(Event.STOPPING, connections=len(self.callers))
         self.gossip.send_now()
         self.callers.drain(self.stopping_since, self.settings.grace_s)
--- a/dockreach/direct/entry_pages.py
+++ b/dockreach/direct/entry_pages.py
@@ -24,15 +24,15 @@
 from .slot_server import SlotServer
 from .status_pages import NOT_FOUND, Page
 
-MOST_BARRED_SHOWN = 16
+MAX_QUARANTINED_SHOWN = 16
 """Quarantined requests on the metrics page, the latest ones: each is a time series of its
 own in the metrics store."""
 
-MOST_STATED_SHOWN = 64
+MAX_ADVERTISED_SHOWN = 64
 """Endpoints whose advertised state is on the metrics page, limited for the same reason."""
 
 
-class Shown(Protocol):
+class PageSource(Protocol):
     """The attributes of an entry that its pages show."""
 
     settings: EntrySettings
@@ -44,10 +44,10 @@
     peers: PeerTable
     gossip: Gossip
     dispatcher: Dispatcher
-    asker: SlotClient
-    granter: SlotServer
-    guard: SendGuard
-    emptied: EvacuatedHalls
+    slot_client: SlotClient
+    slot_server: SlotServer
+    send_guard: SendGuard
+    evacuated: EvacuatedHalls
 
     @property
     def is_ready(self) -> bool:
@@ -64,7 +64,7 @@
         entry: The entry.
     """
 
-    def __init__(self, entry: Shown) -> None:
+    def __init__(self, entry: PageSource) -> None:
         self._entry = entry
 
     def health(self, target: bytes) -> Page:
@@ -89,7 +89,7 @@
         entry = self._entry
         yield from process_samples(entry.started)
         yield from counter_samples("direct", entry.ctx.counters)
-        yield from entry.ctx.tally.samples()
+        yield from entry.ctx.outcomes.samples()
         now = clock.now()
         yield from entry.feeds.samples(now, entry.started)
         gauges = {
@@ -97,15 +97,17 @@
             "endpoints": len(entry.endpoints),
             "revision": entry.revision.number if entry.revision else 0,
             "under_way": sum(row.in_flight_here for row in entry.endpoints),
-            "cold_endpoints": sum(entry.guard.is_cold(row, now) for row in entry.endpoints),
+            "cold_endpoints": sum(
+                entry.send_guard.is_cold(row, now) for row in entry.endpoints
+            ),
             "suspects": len(entry.ctx.crashes.quarantine),
             "requests_barred": len(entry.ctx.crashes.quarantine.quarantined()),
-            "halls_emptied": len(entry.emptied.since),
-            "orders_revision": entry.emptied.revision,
+            "halls_emptied": len(entry.evacuated.since),
+            "orders_revision": entry.evacuated.revision,
             "waiting": sum(entry.dispatcher.waiting().values()),
-            "asked": sum(entry.asker.waiting().values()),
-            "places_granted": entry.granter.grant_count,
-            "places_taken_alone": entry.asker.fallback_count,
+            "asked": sum(entry.slot_client.waiting().values()),
+            "places_granted": entry.slot_server.grant_count,
+            "places_taken_alone": entry.slot_client.fallback_count,
             "digests_sent": entry.gossip.sent,
             "connections_opened": entry.ctx.pool.opened,
             "connections_reused": entry.ctx.pool.reused,
@@ -114,12 +116,14 @@
             text = name.replace("_", " ").capitalize()
             yield Sample(f"dockreach_direct_{name}", text, value, {}, counter=False)
         yield from self._hall_samples()
-        yield from self._barred_samples()
-        yield from self._stated_samples(now)
+        yield from self._quarantine_samples()
+        yield from self._advertised_samples(now)
 
-    def _stated_samples(self, now: float) -> Iterator[Sample]:
+    def _advertised_samples(self, now: float) -> Iterator[Sample]:
         """Return why endpoints are blocked, and the state that they advertise."""
-        blocks = [self._entry.guard.send_block(row, now) for row in self._entry.endpoints]
+        blocks = [
+            self._entry.send_guard.send_block(row, now) for row in self._entry.endpoints
+        ]
         for reason, count in Counter(block.reason for block in blocks if block).items():
             yield Sample(
                 "dockreach_direct_endpoints_held",
@@ -128,7 +132,7 @@
                 {"reason": reason.value},
                 counter=False,
             )
-        rows = self._entry.endpoints.advertising()[:MOST_STATED_SHOWN]
+        rows = self._entry.endpoints.advertising()[:MAX_ADVERTISED_SHOWN]
         limits = {row.id: row.advertised.limit for row in rows}
         shown = {
             "limit_per_second": {
@@ -154,9 +158,9 @@
                     counter=False,
                 )
 
-    def _barred_samples(self) -> Iterator[Sample]:
+    def _quarantine_samples(self) -> Iterator[Sample]:
         """Return which requests are quarantined, and where they come from."""
-        for request in self._entry.ctx.crashes.quarantined()[:MOST_BARRED_SHOWN]:
+        for request in self._entry.ctx.crashes.quarantined()[:MAX_QUARANTINED_SHOWN]:
             yield Sample(
                 "dockreach_direct_request_barred_seconds",
                 "Seconds since an engine ended last under a request that is not run",
@@ -169,11 +173,11 @@
         """Return since when each data hall is evacuated, and by which revision."""
         entry = self._entry
         now = clock.now()
-        for hall, since in entry.emptied.since.items():
+        for hall, since in entry.evacuated.since.items():
             yield Sample(
                 "dockreach_direct_hall_emptied_seconds",
                 "Seconds since a data hall is to be empty",
                 now - since,
-                {"hall": hall, "orders_revision": str(entry.emptied.revision)},
+                {"hall": hall, "orders_revision": str(entry.evacuated.revision)},
                 counter=False,
             )
--- a/dockreach/direct/entry_settings.py
+++ b/dockreach/direct/entry_settings.py
@@ -23,16 +23,16 @@
         gossip: Address at which it listens to other entries, over UDP and TCP.
         metrics: Address of its metrics page; ``None`` for no such page.
         seeds: Other entries to contact first.
-        has_past: Whether the system ran before this process was started.
+        has_predecessor: Whether the system ran before this process was started.
         grace_s: Time from the signal to stop until the process is killed, in seconds.
         metrics_path: The path of the metrics page.
-        tolerance: By how much an organisation's quota may be exceeded.
-        retries: The budget for retries.
-        in_force_s: Time in which published changes must be applied, in seconds.
+        quota_tolerance: By how much an organisation's quota may be exceeded.
+        retry_policy: The budget for retries.
+        apply_deadline_s: Time in which published changes must be applied, in seconds.
         capacity: Fraction of a processor core that the entry may use.
         is_coordinated: Whether one entry, the coordinator, grants the slots of a service.
-        cold: By how much the rate limit of a cold endpoint may be exceeded.
-        regions: The region of each data hall.
+        cold_tolerance: By how much the rate limit of a cold endpoint may be exceeded.
+        region_of_hall: The region of each data hall.
     """
 
     name: str
@@ -42,13 +42,13 @@
     gossip: Address
     metrics: Address | None
     seeds: tuple[Address, ...]
-    has_past: bool
+    has_predecessor: bool
     grace_s: float
     metrics_path: str
-    tolerance: QuotaTolerance
-    retries: RetryPolicy
-    in_force_s: float = 2.0
+    quota_tolerance: QuotaTolerance
+    retry_policy: RetryPolicy
+    apply_deadline_s: float = 2.0
     capacity: float = 1.0
     is_coordinated: bool = True
-    cold: ColdTolerance = ColdTolerance()
-    regions: Mapping[str, str] = field(default_factory=dict)
+    cold_tolerance: ColdTolerance = ColdTolerance()
+    region_of_hall: Mapping[str, str] = field(default_factory=dict)
--- a/dockreach/direct/event_stream.py
+++ b/dockreach/direct/event_stream.py
@@ -9,8 +9,8 @@
 import re
 from typing import NamedTuple
 
-_END = re.compile(rb"\r\n\r\n|\n\n|\r\r")
-_ID = re.compile(rb"^id: ?(.*?)\r?$", re.MULTILINE)
+_BLANK_LINE = re.compile(rb"\r\n\r\n|\n\n|\r\r")
+_ID_FIELD = re.compile(rb"^id: ?(.*?)\r?$", re.MULTILINE)
 
 CONTENT_TYPE = b"text/event-stream"
 
@@ -31,24 +31,24 @@
     """Buffers bytes and returns complete events."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._remainder = b""
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """Bytes after the last complete event."""
-        return self._rest
+        return self._remainder
 
     def feed(self, data: bytes) -> list[StreamEvent]:
         """Add bytes; return the events that are now complete."""
-        data = self._rest + data
+        data = self._remainder + data
         events = []
         start = 0
-        for match in _END.finditer(data):
+        for match in _BLANK_LINE.finditer(data):
             event = data[start : match.end()]
             start = match.end()
-            id_line = _ID.search(event)
+            id_line = _ID_FIELD.search(event)
             events.append(
                 StreamEvent(event, id_line[1].decode("latin-1") if id_line else "")
             )
-        self._rest = data[start:]
+        self._remainder = data[start:]
         return events
--- a/dockreach/direct/forward.py
+++ b/dockreach/direct/forwarder.py
@@ -11,63 +11,63 @@
 from ..errors import CallerGoneError, DockreachError
 from ..events import Event, log
 from ..verdict import Reason, Refusal, Verdict
-from .attempt import NOTHING_RAN, Attempt, Fate, Placement
-from .caller_side import CallerSide
+from .attempt import NOT_RUN_OUTCOMES, Attempt, AttemptOutcome, Placement
 from .context import Context
 from .crash_reporter import UnansweredRequest
 from .endpoint_connection import EndpointConnection
 from .endpoints import EndpointRow, Pace
 from .event_stream import CONTENT_TYPE, EventSplitter
-from .http1 import AnswerError, ConnectError, RawHead, end_to_end
+from .http1 import ConnectError, RawHead, ResponseError, end_to_end
 from .jobs import Job, queue_timeout_s
 from .outcomes import DeliveryProgress
-from .pool import RESTED_S
+from .pool import MAX_IDLE_WITHOUT_RETRY_S
 from .quarantine import HARMLESS_EVENTS, HARMLESS_RUN_S, QUARANTINED_REFUSAL
-from .requests import AnswerHead, InboundRequest, Standing
+from .requests import ExecutionStatus, InboundRequest, ResponseHead
+from .response_sink import ResponseSink
 from .routing_config import RetryMode
 from .slot_messages import SampleKind
 
-BUFFER_BYTES = 1 << 20
+MAX_BUFFERED_BYTES = 1 << 20
 """Responses up to this size are buffered whole before they are passed on, so that the
 request can be retried if one is truncated."""
 
-FIRST_SILENCE = 2.5
+FIRST_EVENT_TIMEOUT_OBJECTIVES = 2.5
 """Read timeout for the first event, in objectives, after which a resumable stream is tried
 at another endpoint. Callers give up after four objectives."""
 
-GAP_SILENCE = 3.0
+GAP_TIMEOUT_OBJECTIVES = 3.0
 """Read timeout between events, in gap objectives, after which a resumable stream is resumed
 at another endpoint."""
 
-PLAIN_SILENCE = 2.0
+PLAIN_TIMEOUT_OBJECTIVES = 2.0
 """Read timeout for a plain response, in objectives, after which a request that may be
 retried is sent to another endpoint."""
 
-MOST_CONNECTS = 4
+MAX_FAILED_CONNECTS = 4
 """Failed connection attempts after which a request is refused."""
 
 SERVER_ERRORS = range(500, 600)
 
-TURNED_AWAY = (429, 503)
+OVERLOAD_STATUSES = (429, 503)
 """Statuses with which an overloaded endpoint rejects a request that it could run. It would
 reject the next one too, and an endpoint that rejects at once looks idle."""
 
-LEAST_FAILURE = 400
+MIN_FAILURE_STATUS = 400
 """Lowest status that counts as a failed response."""
 
-FALLBACK_RETRY_S = 0.5
+DEFAULT_RETRY_AFTER_S = 0.5
 """Retry time that a refused caller gets where no better one is known, in seconds."""
 
 
-class _TimeIsUpError(DockreachError):
+class _DeadlineError(DockreachError):
     """The caller's deadline or the route's timeout has passed."""
 
 
-class _SilentError(DockreachError):
+class _ReadTimeoutError(DockreachError):
     """An endpoint sent nothing within the read timeout; the request may be retried."""
 
 
-class Forward:
+class Forwarder:
     """Makes the upstream attempts of one request.
 
     Args:
@@ -77,9 +77,9 @@
         caller: Where the response goes.
         organisation: Name of the organisation that sent it; empty on a public route.
         fingerprint: Identifies the request; the same for all attempts of its caller.
-        is_trial: Whether it is the half-open probe of a quarantined request, which shows
+        is_probe: Whether it is the half-open probe of a quarantined request, which shows
             if engines crashed for other reasons; a probe is sent once.
-        most_idle: Maximum number of idle connections to one endpoint.
+        max_idle: Maximum number of idle connections to one endpoint.
     """
 
     def __init__(
@@ -87,12 +87,12 @@
         ctx: Context,
         job: Job,
         req: InboundRequest,
-        caller: CallerSide,
+        caller: ResponseSink,
         *,
         organisation: str,
         fingerprint: bytes,
-        is_trial: bool,
-        most_idle: int,
+        is_probe: bool,
+        max_idle: int,
     ) -> None:
         self._ctx = ctx
         self._job = job
@@ -101,17 +101,17 @@
         self._caller = caller
         self._organisation = organisation
         self._fingerprint = fingerprint
-        self._is_trial = is_trial
-        self._ends = job.deadline
-        self._most_idle = most_idle
-        self._sent = 0
-        self._last_event = req.last_event_id
-        self._last_answer: tuple[RawHead, bytes] | None = None
+        self._is_probe = is_probe
+        self._deadline = job.deadline
+        self._max_idle = max_idle
+        self._attempts_sent = 0
+        self._last_event_id = req.last_event_id
+        self._last_error_response: tuple[RawHead, bytes] | None = None
         self.attempts: list[Attempt] = []
         self.progress = DeliveryProgress()
         self.placement: Placement | None = None
-        self._began: float | None = None
-        self._events = 0
+        self._first_event_at: float | None = None
+        self._event_count = 0
         self.may_have_run = False
 
     def run(self) -> Refusal | None:
@@ -123,14 +123,14 @@
         Raises:
             CallerGoneError: The caller closed its connection.
         """
-        time_left_s = max(self._ends - self._ctx.now(), 0.0)
+        time_left_s = max(self._deadline - self._ctx.now(), 0.0)
         try:
-            with eventlet.Timeout(time_left_s, _TimeIsUpError("deadline passed")):
+            with eventlet.Timeout(time_left_s, _DeadlineError("deadline passed")):
                 return self._attempt_all()
-        except _TimeIsUpError:
+        except _DeadlineError:
             verdict = Verdict.MAY_HAVE_RUN if self.may_have_run else Verdict.NOT_RUN
             reason = Reason.DEADLINE if self.may_have_run else Reason.SHED
-            return Refusal(verdict, reason, retry_after_s=FALLBACK_RETRY_S)
+            return Refusal(verdict, reason, retry_after_s=DEFAULT_RETRY_AFTER_S)
 
     def _attempt_all(self) -> Refusal | None:
         job = self._job
@@ -138,140 +138,147 @@
         while True:
             found = self._ctx.scheduler.acquire_slot(job)
             if isinstance(found, Refusal):
-                return self._final(found)
-            if self._is_barred:
+                return self._finish_unserved(found)
+            if self._is_quarantined:
                 # Engines crashed under it at other entries while it waited, or under its
                 # previous attempt.
                 self._ctx.scheduler.release_slot(job)
-                return self._final(QUARANTINED_REFUSAL)
-            self.placement = self._note_place(found)
+                return self._finish_unserved(QUARANTINED_REFUSAL)
+            self.placement = self._make_placement(found)
             may_have_run_before = self.may_have_run
             try:
                 attempt = self._attempt(found)
             finally:
                 self._ctx.scheduler.release_slot(job)
-            if attempt.fate in NOTHING_RAN:
+            if attempt.outcome in NOT_RUN_OUTCOMES:
                 self.may_have_run = may_have_run_before
             self.attempts.append(attempt)
             job.tried_endpoints.add(found.id)
-            if attempt.fate is Fate.DELIVERED:
+            if attempt.outcome is AttemptOutcome.DELIVERED:
                 if not self.progress.is_failure:
                     self._ctx.crashes.record_completion(self._fingerprint)
                 return None
             self._log_attempt(attempt)
-            if attempt.fate is Fate.NOT_SENT:
+            if attempt.outcome is AttemptOutcome.NOT_SENT:
                 failed_connects += 1
-                if failed_connects < MOST_CONNECTS:
+                if failed_connects < MAX_FAILED_CONNECTS:
                     continue
                 refusal = Refusal(Verdict.NOT_RUN, Reason.NO_ENDPOINT)
-                return self._final(refusal._replace(retry_after_s=FALLBACK_RETRY_S))
-            if not self._may_go_on(attempt):
-                return self._final(self._verdict_on(attempt))
+                return self._finish_unserved(
+                    refusal._replace(retry_after_s=DEFAULT_RETRY_AFTER_S)
+                )
+            if not self._may_retry(attempt):
+                return self._finish_unserved(self._refusal_after(attempt))
 
-    def _note_place(self, row: EndpointRow) -> Placement:
+    def _make_placement(self, row: EndpointRow) -> Placement:
         return Placement(
             endpoint=row.id,
-            waited_s=self._ctx.now() - self._req.arrived,
-            own=row.in_flight_here,
-            others=row.in_flight_elsewhere,
+            waited_s=self._ctx.now() - self._req.arrived_at,
+            in_flight_here=row.in_flight_here,
+            in_flight_elsewhere=row.in_flight_elsewhere,
             slots=row.published.slots,
             granted_by=self._job.granted_by,
         )
 
-    def _may_go_on(self, attempt: Attempt) -> bool:
+    def _may_retry(self, attempt: Attempt) -> bool:
         """Return whether the request may be sent to another endpoint."""
         # A misdirected attempt is not counted: its endpoint was gone before it was sent.
-        self._sent += attempt.fate is not Fate.NOT_THERE
-        if attempt.answer is not None:
-            self._last_answer = attempt.answer
-        if attempt.fate not in NOTHING_RAN and self._route.retry_mode is RetryMode.NEVER:
+        self._attempts_sent += attempt.outcome is not AttemptOutcome.MISDIRECTED
+        if attempt.response is not None:
+            self._last_error_response = attempt.response
+        if (
+            attempt.outcome not in NOT_RUN_OUTCOMES
+            and self._route.retry_mode is RetryMode.NEVER
+        ):
             return False
-        if self._sent >= self._route.max_attempts:
+        if self._attempts_sent >= self._route.max_attempts:
             return False
-        if not self._ctx.take_retry(self._job.service):
+        if not self._ctx.try_acquire_retry(self._job.service):
             return False
         self._ctx.counters.retries += 1
         now = self._ctx.now()
-        self._job.queue_deadline = now + queue_timeout_s(self._route, self._ends - now)
+        self._job.queue_deadline = now + queue_timeout_s(self._route, self._deadline - now)
         return True
 
-    def _verdict_on(self, attempt: Attempt) -> Refusal:
+    def _refusal_after(self, attempt: Attempt) -> Refusal:
         if self.may_have_run:
             return Refusal(Verdict.MAY_HAVE_RUN, Reason.ENGINE_LOST, attempt.detail)
         return Refusal(
             Verdict.NOT_RUN,
             Reason.ENGINE_REFUSED,
             attempt.detail,
-            retry_after_s=FALLBACK_RETRY_S,
+            retry_after_s=DEFAULT_RETRY_AFTER_S,
         )
 
-    def _final(self, refusal: Refusal) -> Refusal | None:
+    def _finish_unserved(self, refusal: Refusal) -> Refusal | None:
         """Pass on the last error response of an endpoint if there is one, else refuse."""
-        if self._last_answer is None or self._caller.head_sent:
+        if self._last_error_response is None or self._caller.head_sent:
             if self.may_have_run and refusal.verdict is Verdict.NOT_RUN:
                 return Refusal(Verdict.MAY_HAVE_RUN, Reason.ENGINE_LOST)
             return refusal
         self.progress.is_failure = True
-        self._caller.send_whole(*self._last_answer)
+        self._caller.send_response(*self._last_error_response)
         return None
 
     def _attempt(self, row: EndpointRow) -> Attempt:
         """Send the request to one endpoint and pass on its response if it is usable."""
-        max_idle_s = None if self._has_another_attempt else RESTED_S
+        max_idle_s = None if self._has_another_attempt else MAX_IDLE_WITHOUT_RETRY_S
         try:
-            conn = self._ctx.pool.get(row.published.address, most_rested_s=max_idle_s)
+            conn = self._ctx.pool.get(row.published.address, max_idle_s=max_idle_s)
         except ConnectError as exc:
             row.mark_unreachable(self._ctx.now())
-            return Attempt(Fate.NOT_SENT, row.id, str(exc))
+            return Attempt(AttemptOutcome.NOT_SENT, row.id, str(exc))
         keep_alive_s: float | None = 0.0
         sent_at = self._ctx.now()
-        self._began = None
-        self._events = 0
+        self._first_event_at = None
+        self._event_count = 0
         row.conns.add(conn)
         try:
             head = self._send(conn, row, sent_at)
-            attempt = self._pass_on(conn, row, head, sent_at)
-            keep_alive_s = head.kept_s
-        except (AnswerError, _SilentError) as exc:
+            attempt = self._relay_response(conn, row, head, sent_at)
+            keep_alive_s = head.keep_alive_s
+        except (ResponseError, _ReadTimeoutError) as exc:
             row.record_failure(self._ctx.now())
-            self._suspect(row, sent_at, is_cut=isinstance(exc, AnswerError))
-            if conn.was_kept and isinstance(exc, _SilentError):
+            self._report_unanswered(
+                row, sent_at, is_connection_broken=isinstance(exc, ResponseError)
+            )
+            if conn.was_reused and isinstance(exc, _ReadTimeoutError):
                 # Idle connections stall together, for example when a middlebox loses its
                 # state: without this, each of them would cost one more request.
-                self._ctx.pool.drop_all()
-            return Attempt(Fate.LOST, row.id, str(exc))
-        except (CallerGoneError, _TimeIsUpError):
-            self._suspect(row, sent_at, is_cut=False)
+                self._ctx.pool.close_all()
+            return Attempt(AttemptOutcome.LOST, row.id, str(exc))
+        except (CallerGoneError, _DeadlineError):
+            self._report_unanswered(row, sent_at, is_connection_broken=False)
             raise
         finally:
             row.conns.discard(conn)
-            self._ctx.pool.put(conn, keep_alive_s, self._most_idle)
+            self._ctx.pool.put(conn, keep_alive_s, self._max_idle)
         return attempt
 
-    def _send(self, conn: EndpointConnection, row: EndpointRow, now: float) -> AnswerHead:
+    def _send(self, conn: EndpointConnection, row: EndpointRow, now: float) -> ResponseHead:
         """Send the request and read the head of its response.
 
         Raises:
             ResponseError: The connection broke, or the response has no request id.
         """
         req = self._req
-        headers = self._ctx.dialect.endpoint_headers(
+        headers = self._ctx.adapter.endpoint_headers(
             req,
             row.published,
             organisation=self._organisation,
-            left_s=max(self._ends - now, 0.0),
-            resume_after=self._last_event,
+            time_left_s=max(self._deadline - now, 0.0),
+            resume_after=self._last_event_id,
         )
         self.may_have_run = True
         conn.send(req.method, req.target, headers, req.body if req.has_body else None)
-        with self._silence(self._first_limit_s()):
-            return self._own_head(conn, row, now)
+        with self._read_timeout(self._first_timeout_s()):
+            return self._read_own_head(conn, row, now)
 
-    def _own_head(
+    def _read_own_head(
         self, conn: EndpointConnection, row: EndpointRow, sent_at: float
-    ) -> AnswerHead:
+    ) -> ResponseHead:
         while True:
-            head = self._ctx.dialect.read_answer(conn.read_head())
+            head = self._ctx.adapter.read_response(conn.read_head())
             # For a late response to another request, the send time is not known.
             is_own = head.rid in (self._req.rid, "")
             request_sent_at = sent_at if is_own else -math.inf
@@ -280,20 +287,22 @@
             )
             if head.rid == self._req.rid:
                 return head
-            if not head.rid and head.standing is not Standing.RAN:
+            if not head.rid and head.execution_status is not ExecutionStatus.RAN:
                 return head
             if not head.rid:
-                raise AnswerError(f"{conn.address}: response without a request id")
+                raise ResponseError(f"{conn.address}: response without a request id")
             self._ctx.counters.late_answers += 1
-            conn.skip_answer()
+            conn.skip_response()
 
     @property
-    def _is_barred(self) -> bool:
-        if self._is_trial and not self.attempts:
+    def _is_quarantined(self) -> bool:
+        if self._is_probe and not self.attempts:
             return False
         return self._ctx.crashes.quarantine.is_quarantined(self._fingerprint)
 
-    def _suspect(self, row: EndpointRow, sent_at: float, *, is_cut: bool) -> None:
+    def _report_unanswered(
+        self, row: EndpointRow, sent_at: float, *, is_connection_broken: bool
+    ) -> None:
         """Have it checked whether the engine crashed under the current attempt.
 
         A stream that has run for a while without harm is not reported.
@@ -301,17 +310,17 @@
         Args:
             row: The engine's endpoint.
             sent_at: Monotonic time at which the request was sent to it, in seconds.
-            is_cut: Whether the connection to the engine broke.
+            is_connection_broken: Whether the connection to the engine broke.
         """
         now = self._ctx.now()
-        ran_s = now - self._began if self._began is not None else 0.0
-        if self._events >= HARMLESS_EVENTS or ran_s >= HARMLESS_RUN_S:
+        ran_s = now - self._first_event_at if self._first_event_at is not None else 0.0
+        if self._event_count >= HARMLESS_EVENTS or ran_s >= HARMLESS_RUN_S:
             return
         crashes = self._ctx.crashes
         unanswered = UnansweredRequest(
             self._req.path, self._fingerprint, self._organisation, row, sent_at, now
         )
-        if is_cut:
+        if is_connection_broken:
             crashes.record_lost(unanswered)
         else:
             crashes.record_abandoned(unanswered)
@@ -321,65 +330,78 @@
         """Whether the request may be sent again if the current attempt fails."""
         route = self._route
         return (
-            route.retry_mode is not RetryMode.NEVER and self._sent + 1 < route.max_attempts
+            route.retry_mode is not RetryMode.NEVER
+            and self._attempts_sent + 1 < route.max_attempts
         )
 
-    def _first_limit_s(self) -> float | None:
+    def _first_timeout_s(self) -> float | None:
         """Return the read timeout for a response's head, in seconds."""
         route = self._route
         if not self._has_another_attempt:
             return None
-        factor = FIRST_SILENCE if route.is_stream else PLAIN_SILENCE
+        factor = (
+            FIRST_EVENT_TIMEOUT_OBJECTIVES if route.is_stream else PLAIN_TIMEOUT_OBJECTIVES
+        )
         return factor * route.objective_s
 
-    def _gap_limit_s(self) -> float | None:
+    def _gap_timeout_s(self) -> float | None:
         route = self._route
         if route.retry_mode is not RetryMode.RESUME or not self._has_another_attempt:
             return None
-        return max(GAP_SILENCE * route.gap_objective_s, route.objective_s)
+        return max(GAP_TIMEOUT_OBJECTIVES * route.gap_objective_s, route.objective_s)
 
     @contextmanager
-    def _silence(self, timeout_s: float | None) -> Iterator[None]:
+    def _read_timeout(self, timeout_s: float | None) -> Iterator[None]:
         if timeout_s is None:
             yield
             return
-        with eventlet.Timeout(timeout_s, _SilentError(f"no data for {timeout_s:.1f} s")):
+        with eventlet.Timeout(
+            timeout_s, _ReadTimeoutError(f"no data for {timeout_s:.1f} s")
+        ):
             yield
 
-    def _pass_on(
-        self, conn: EndpointConnection, row: EndpointRow, head: AnswerHead, sent_at: float
+    def _relay_response(
+        self, conn: EndpointConnection, row: EndpointRow, head: ResponseHead, sent_at: float
     ) -> Attempt:
-        if head.standing is Standing.OTHER_ENDPOINT:
-            conn.read_body(BUFFER_BYTES)
+        if head.execution_status is ExecutionStatus.MISDIRECTED:
+            conn.read_body(MAX_BUFFERED_BYTES)
             row.mark_address_reused(self._ctx.now())
-            return Attempt(Fate.NOT_THERE, row.id, "another endpoint uses the address")
-        if head.standing is Standing.NOT_RUN:
-            conn.read_body(BUFFER_BYTES)
-            if head.status in TURNED_AWAY:
+            return Attempt(
+                AttemptOutcome.MISDIRECTED, row.id, "another endpoint uses the address"
+            )
+        if head.execution_status is ExecutionStatus.NOT_RUN:
+            conn.read_body(MAX_BUFFERED_BYTES)
+            if head.status in OVERLOAD_STATUSES:
                 row.record_failure(self._ctx.now())
-            return Attempt(Fate.NOT_RUN, row.id, f"endpoint refused: status {head.status}")
+            return Attempt(
+                AttemptOutcome.NOT_RUN, row.id, f"endpoint refused: status {head.status}"
+            )
         raw = RawHead(head.status, head.reason, end_to_end(head.headers))
         if self._is_event_stream(head):
-            return self._pass_stream(conn, row, raw, sent_at)
-        body = conn.read_body(BUFFER_BYTES)
-        self._note_success(row, self._ctx.now())
+            return self._relay_stream(conn, row, raw, sent_at)
+        body = conn.read_body(MAX_BUFFERED_BYTES)
+        self._record_success(row, self._ctx.now())
         if head.status in SERVER_ERRORS:
-            return Attempt(Fate.FAILED, row.id, f"status {head.status}", (raw, body))
+            return Attempt(
+                AttemptOutcome.FAILED, row.id, f"status {head.status}", (raw, body)
+            )
         if self._caller.head_sent:
-            return Attempt(Fate.FAILED, row.id, f"status {head.status} on resuming")
+            return Attempt(
+                AttemptOutcome.FAILED, row.id, f"status {head.status} on resuming"
+            )
         now = self._ctx.now()
         row.record_measurement(SampleKind.PLAIN, now - sent_at)
         self.progress.record(0, now)
-        self.progress.is_failure = head.status >= LEAST_FAILURE
-        self._caller.send_whole(raw, body)
-        return Attempt(Fate.DELIVERED, row.id)
+        self.progress.is_failure = head.status >= MIN_FAILURE_STATUS
+        self._caller.send_response(raw, body)
+        return Attempt(AttemptOutcome.DELIVERED, row.id)
 
     @staticmethod
-    def _is_event_stream(head: AnswerHead) -> bool:
+    def _is_event_stream(head: ResponseHead) -> bool:
         types = [value for name, value in head.headers if name.lower() == b"content-type"]
         return head.status == 200 and any(CONTENT_TYPE in value for value in types)
 
-    def _pass_stream(
+    def _relay_stream(
         self, conn: EndpointConnection, row: EndpointRow, head: RawHead, sent_at: float
     ) -> Attempt:
         """Pass on a stream's events as they arrive.
@@ -389,9 +411,9 @@
         """
         splitter = EventSplitter()
         pace = Pace(row)
-        timeout_s = self._first_limit_s()
+        timeout_s = self._first_timeout_s()
         while True:
-            with self._silence(timeout_s):
+            with self._read_timeout(timeout_s):
                 data = conn.read_data()
             if data is None:
                 break
@@ -399,26 +421,26 @@
             if not events:
                 continue
             now = self._ctx.now()
-            if self._began is None:
-                self._began = now
-                self._note_success(row, now)
-                self._end_reading(row, sent_at, now)
-                timeout_s = self._gap_limit_s()
+            if self._first_event_at is None:
+                self._first_event_at = now
+                self._record_success(row, now)
+                self._record_prefill_end(row, sent_at, now)
+                timeout_s = self._gap_timeout_s()
             pace.count(len(events), now)
-            self._events += len(events)
+            self._event_count += len(events)
             self.progress.record(len(events), now)
             self._start_stream(head)
             for event in events:
-                self._last_event = event.id or self._last_event
+                self._last_event_id = event.id or self._last_event_id
             self._caller.send_data(b"".join(event.data for event in events))
-        if splitter.rest and not conn.is_framed:
-            raise AnswerError(f"{conn.address}: connection closed within an event")
+        if splitter.remainder and not conn.is_framed:
+            raise ResponseError(f"{conn.address}: connection closed within an event")
         self._start_stream(head)
-        self._caller.send_data(splitter.rest)
+        self._caller.send_data(splitter.remainder)
         self._caller.end()
-        return Attempt(Fate.DELIVERED, row.id)
+        return Attempt(AttemptOutcome.DELIVERED, row.id)
 
-    def _note_success(self, row: EndpointRow, now: float) -> None:
+    def _record_success(self, row: EndpointRow, now: float) -> None:
         row.record_success(now)
         self._ctx.crashes.record_alive(row)
 
@@ -427,16 +449,16 @@
         if not self._caller.head_sent:
             self._caller.send_head(head)
 
-    def _end_reading(self, row: EndpointRow, sent_at: float, now: float) -> None:
+    def _record_prefill_end(self, row: EndpointRow, sent_at: float, now: float) -> None:
         """Record the end of the prefill and the time to the first event."""
         job = self._job
         if job.found_free_slot:
             tokens = job.prefill_ahead + job.prefill_tokens
             row.record_measurement(SampleKind.FIRST_EVENT, now - sent_at, tokens)
         self._ctx.scheduler.record_prefill_end(job)
-        self._keep_prefix(row, now)
+        self._record_cached_prefix(row, now)
 
-    def _keep_prefix(self, row: EndpointRow, now: float) -> None:
+    def _record_cached_prefix(self, row: EndpointRow, now: float) -> None:
         for part, _ in self._req.prefix:
             row.record_prefix(part, now)
 
@@ -446,7 +468,7 @@
             rid=self._req.rid,
             fingerprint=self._fingerprint.hex(),
             endpoint=attempt.endpoint,
-            fate=attempt.fate.value,
+            fate=attempt.outcome.value,
             detail=attempt.detail,
-            held_ms=round((self._ctx.now() - self._req.arrived) * 1000),
+            held_ms=round((self._ctx.now() - self._req.arrived_at) * 1000),
         )
--- a/dockreach/direct/http1.py
+++ b/dockreach/direct/http1.py
@@ -56,7 +56,7 @@
     """No connection to an endpoint could be opened; nothing was sent."""
 
 
-class AnswerError(DockreachError):
+class ResponseError(DockreachError):
     """An endpoint's response was truncated, or is not HTTP."""
 
 
@@ -124,7 +124,7 @@
         raise TimeoutError(f"no data for {timeout_s:.1f} s") from exc
 
 
-def tune(sock: Any) -> None:  # noqa: ANN401
+def set_socket_options(sock: Any) -> None:  # noqa: ANN401
     """Send small pieces without delay, and detect a peer that has lost power."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
--- a/dockreach/direct/loops.py
+++ b/dockreach/direct/loops.py
@@ -9,7 +9,7 @@
 
 from ..events import Event, log
 
-AFTER_FAULT_S = 0.2
+ERROR_PAUSE_S = 0.2
 """Pause after a step that failed, in seconds: an error at every step is logged at most five
 times a second."""
 
@@ -25,4 +25,4 @@
             step()
         except Exception as exc:  # noqa: BLE001
             log(Event.INTERNAL_ERROR, repr(exc), trace=traceback.format_exc())
-            eventlet.sleep(AFTER_FAULT_S)
+            eventlet.sleep(ERROR_PAUSE_S)
--- a/dockreach/direct/pool.py
+++ b/dockreach/direct/pool.py
@@ -7,22 +7,22 @@
 from .. import clock
 from .endpoint_connection import EndpointConnection
 
-DEFAULT_KEPT_S = 2.0
+DEFAULT_KEEP_ALIVE_S = 2.0
 """Keep-alive time of a connection if the endpoint does not report one, in seconds."""
 
-EARLY_S = 1.0
+KEEP_ALIVE_MARGIN_S = 1.0
 """How long before the end of the endpoint's keep-alive time a connection is no longer
 reused, in seconds: the time is reported in whole seconds, and a close may be in transit."""
 
-MOST_IDLE = 8
+MAX_IDLE_CONNECTIONS = 8
 """Maximum number of idle connections to an endpoint: more than an engine has slots."""
 
-RESTED_S = 0.25
+MAX_IDLE_WITHOUT_RETRY_S = 0.25
 """How long a connection may have been idle to be used for a request that cannot be retried,
 in seconds. If it has stalled meanwhile, or the endpoint has dropped it, the request is
 lost; if a new connection cannot be opened, it is not."""
 
-IDLE_PART = 0.5
+IDLE_FRACTION = 0.5
 """Fraction of an endpoint's connections that all entries together may keep idle."""
 
 
@@ -33,36 +33,36 @@
         max_connections: Connections that the endpoint accepts from all clients together.
         entries: Number of entries that may be running.
     """
-    return min(MOST_IDLE, max(1, int(max_connections * IDLE_PART / max(entries, 1))))
+    return min(
+        MAX_IDLE_CONNECTIONS, max(1, int(max_connections * IDLE_FRACTION / max(entries, 1)))
+    )
 
 
-class _Idle(NamedTuple):
+class _IdleConnection(NamedTuple):
     conn: EndpointConnection
-    since: float
-    until: float
+    idle_since: float
+    reusable_until: float
 
 
 class ConnectionPool:
     """Idle connections, by the endpoint's address.
 
     Args:
-        connect_s: Connect timeout of a new connection, in seconds.
+        connect_timeout_s: Connect timeout of a new connection, in seconds.
     """
 
-    def __init__(self, connect_s: float) -> None:
-        self._connect_s = connect_s
-        self._idle: dict[str, list[_Idle]] = {}
+    def __init__(self, connect_timeout_s: float) -> None:
+        self._connect_timeout_s = connect_timeout_s
+        self._idle: dict[str, list[_IdleConnection]] = {}
         self.opened = 0
         self.reused = 0
 
-    def get(
-        self, address: str, *, most_rested_s: float | None = None
-    ) -> EndpointConnection:
+    def get(self, address: str, *, max_idle_s: float | None = None) -> EndpointConnection:
         """Return a pooled connection, or open a new one.
 
         Args:
             address: IP address and port of the endpoint.
-            most_rested_s: Longest time that a pooled one may have been idle, in seconds.
+            max_idle_s: Longest time that a pooled one may have been idle, in seconds.
 
         Raises:
             ConnectError: A new connection could not be opened.
@@ -70,51 +70,58 @@
         pooled = self._idle.get(address, [])
         now = clock.now()
         while pooled:
-            if most_rested_s is not None and now - pooled[-1].since > most_rested_s:
+            if max_idle_s is not None and now - pooled[-1].idle_since > max_idle_s:
                 # The last one was used last: the others have been idle for longer.
                 break
             idle = pooled.pop()
-            if idle.until > now and idle.conn.is_quiet():
+            if idle.reusable_until > now and idle.conn.is_open_and_idle():
                 self.reused += 1
                 return idle.conn
             idle.conn.close()
         self.opened += 1
-        return EndpointConnection(address, self._connect_s)
+        return EndpointConnection(address, self._connect_timeout_s)
 
     def put(
-        self, conn: EndpointConnection, kept_s: float | None, most_idle: int = MOST_IDLE
+        self,
+        conn: EndpointConnection,
+        keep_alive_s: float | None,
+        max_idle: int = MAX_IDLE_CONNECTIONS,
     ) -> None:
         """Pool a connection whose response was read completely, or close it.
 
         Args:
             conn: The connection.
-            kept_s: Keep-alive time of the endpoint, in seconds; ``None`` if not reported.
-            most_idle: Maximum number of idle connections to this endpoint.
+            keep_alive_s: Keep-alive time of the endpoint, in seconds; ``None`` if not reported.
+            max_idle: Maximum number of idle connections to this endpoint.
         """
-        reusable_s = DEFAULT_KEPT_S if kept_s is None else kept_s - EARLY_S
+        reusable_s = (
+            DEFAULT_KEEP_ALIVE_S
+            if keep_alive_s is None
+            else keep_alive_s - KEEP_ALIVE_MARGIN_S
+        )
         pooled = self._idle.setdefault(conn.address, [])
-        if reusable_s <= 0 or len(pooled) >= most_idle or not conn.make_reusable():
+        if reusable_s <= 0 or len(pooled) >= max_idle or not conn.make_reusable():
             conn.close()
             return
         now = clock.now()
-        pooled.append(_Idle(conn, now, now + reusable_s))
+        pooled.append(_IdleConnection(conn, now, now + reusable_s))
 
     def expire(self) -> None:
         """Close idle connections whose keep-alive time is over."""
         now = clock.now()
         for address, pooled in list(self._idle.items()):
-            for idle in [item for item in pooled if item.until <= now]:
+            for idle in [item for item in pooled if item.reusable_until <= now]:
                 idle.conn.close()
                 pooled.remove(idle)
             if not pooled:
                 del self._idle[address]
 
-    def drop_all(self) -> None:
+    def close_all(self) -> None:
         """Close all idle connections: one has stalled, and so may have others."""
         for address in list(self._idle):
-            self.drop(address)
+            self.close_idle(address)
 
-    def drop(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close all idle connections to an address."""
         for idle in self._idle.pop(address, []):
             idle.conn.close()
--- a/dockreach/direct/dialect.py
+++ b/dockreach/direct/protocol_adapter.py
@@ -7,19 +7,19 @@
 from ..verdict import Refusal
 from .endpoints import Published
 from .http1 import RawHead, RawRequest
-from .requests import AnswerHead, Header, InboundRequest
+from .requests import Header, InboundRequest, ResponseHead
 from .routing_config import ConfigRevision
 
 
-class Dialect(Protocol):
+class ProtocolAdapter(Protocol):
     """Translates between a platform's headers and the types of the direct path."""
 
-    def read_request(self, raw: RawRequest, arrived: float) -> InboundRequest:
+    def read_request(self, raw: RawRequest, arrived_at: float) -> InboundRequest:
         """Decode a caller's request.
 
         Args:
             raw: The request as received.
-            arrived: Monotonic time at which it was complete, in seconds.
+            arrived_at: Monotonic time at which it was complete, in seconds.
 
         Raises:
             BadRequestError: A required header is missing or not valid.
@@ -31,7 +31,7 @@
         endpoint: Published,
         *,
         organisation: str,
-        left_s: float,
+        time_left_s: float,
         resume_after: str,
     ) -> list[Header]:
         """Return the headers of the request that is sent to an endpoint.
@@ -40,11 +40,11 @@
             req: The caller's request.
             endpoint: The endpoint that it is sent to.
             organisation: Name of the organisation that sent it; empty on a public route.
-            left_s: Time until the request's deadline, in seconds.
+            time_left_s: Time until the request's deadline, in seconds.
             resume_after: Id of the last event that the caller has; empty at the start.
         """
 
-    def read_answer(self, raw: RawHead) -> AnswerHead:
+    def read_response(self, raw: RawHead) -> ResponseHead:
         """Decode the head of an endpoint's response."""
 
     def read_revision(self, text: bytes) -> ConfigRevision:
--- a/dockreach/direct/exchange.py
+++ b/dockreach/direct/request_handler.py
@@ -5,22 +5,22 @@
 from ..errors import CallerGoneError
 from ..events import Event
 from ..verdict import Reason, Refusal, Verdict
-from .call import Call
-from .caller_side import CallerSide
 from .context import Context
 from .crash_reporter import Source
 from .fingerprint import fingerprint_of
-from .forward import Forward
+from .forwarder import Forwarder
 from .jobs import Job, queue_timeout_s
 from .outcomes import Outcome, classify_response
 from .pool import idle_share
 from .quarantine import QUARANTINED_REFUSAL, SERIALIZED_REFUSAL, Admission
+from .request_plan import RequestPlan
 from .request_summary import RequestSummary
 from .requests import InboundRequest
+from .response_sink import ResponseSink
 from .routing_config import ConfigRevision, Organisation, Route
 
 
-class Exchange:
+class RequestHandler:
     """Handles one request from its arrival to its final response.
 
     Args:
@@ -35,14 +35,14 @@
         ctx: Context,
         revision: ConfigRevision,
         req: InboundRequest,
-        caller: CallerSide,
+        caller: ResponseSink,
     ) -> None:
         self._ctx = ctx
         self._revision = revision
         self._req = req
         self._caller = caller
-        self._forwarded: Forward | None = None
-        self._call: Call | None = None
+        self._forwarder: Forwarder | None = None
+        self._plan: RequestPlan | None = None
 
     def run(self) -> None:
         """Handle the request and account for how it ended.
@@ -52,28 +52,28 @@
         """
         self._ctx.counters.requests += 1
         try:
-            refusal = self._answer()
+            refusal = self._respond()
         except CallerGoneError:
-            self._observe("left")
-            self._end(Event.CALLER_LEFT, Outcome.LEFT)
+            self._observe_duration("left")
+            self._record_end(Event.CALLER_LEFT, Outcome.LEFT)
             raise
-        self._observe("answered" if refusal is None else refusal.verdict.value)
+        self._observe_duration("answered" if refusal is None else refusal.verdict.value)
         if refusal is None:
             self._ctx.counters.answered += 1
-            self._end(Event.REQUEST_ANSWERED, self._judge())
+            self._record_end(Event.REQUEST_ANSWERED, self._classify_response())
             return
         self._refuse(refusal)
 
-    def _observe(self, ended: str) -> None:
+    def _observe_duration(self, ended: str) -> None:
         """Record the time to the end of the response, by route and by how it ended."""
         self._ctx.metrics.observe(
             "dockreach_direct_answer_seconds",
             "Time from a request's arrival to the end of its answer",
-            self._ctx.now() - self._req.arrived,
-            {"route": self._call.route.name if self._call else "none", "ended": ended},
+            self._ctx.now() - self._req.arrived_at,
+            {"route": self._plan.route.name if self._plan else "none", "ended": ended},
         )
 
-    def _answer(self) -> Refusal | None:
+    def _respond(self) -> Refusal | None:
         """Send the response to the caller; return a refusal if there is none."""
         req = self._req
         route = self._revision.match(req.host, req.path)
@@ -84,11 +84,13 @@
             return Refusal(Verdict.NOT_RUN, Reason.BAD_KEY)
         if not req.rid:
             return Refusal(Verdict.NOT_RUN, Reason.BAD_REQUEST, "no request id")
-        plan = self._declared(route, organisation)
-        self._call = plan
-        if plan.regions is not None and not self._ctx.halls_in(plan.regions):
+        plan = self._make_plan(route, organisation)
+        self._plan = plan
+        if plan.allowed_regions is not None and not self._ctx.halls_in(
+            plan.allowed_regions
+        ):
             return Refusal(Verdict.NOT_RUN, Reason.NO_REGION, "no region may run it")
-        self._ctx.retries.record_request(plan.service, self._ctx.now())
+        self._ctx.retry_budget.record_request(plan.service, self._ctx.now())
         admission = self._ctx.crashes.quarantine.admit(plan.fingerprint)
         if admission is Admission.QUARANTINED:
             self._ctx.crashes.record_source(
@@ -97,43 +99,43 @@
             return QUARANTINED_REFUSAL
         if admission is Admission.SERIALIZED:
             return SERIALIZED_REFUSAL
-        refusal = self._over_limit(plan)
+        refusal = self._charge_quota(plan)
         # A refusal is falsy, so that it is never mistaken for a response.
         if refusal is not None:
             return refusal
-        return self._forward(plan, is_trial=admission is Admission.PROBE)
+        return self._forward(plan, is_probe=admission is Admission.PROBE)
 
-    def _declared(self, route: Route, organisation: Organisation | None) -> Call:
+    def _make_plan(self, route: Route, organisation: Organisation | None) -> RequestPlan:
         """Return how the request is to be handled under the configuration."""
         req = self._req
-        deadline = req.arrived + route.timeout_s
+        deadline = req.arrived_at + route.timeout_s
         if req.deadline_s is not None:
-            deadline = min(deadline, req.arrived + req.deadline_s)
-        since_first_attempt_s = self._ctx.first_tries.first_attempt_age_s(
+            deadline = min(deadline, req.arrived_at + req.deadline_s)
+        since_first_attempt_s = self._ctx.first_attempts.first_attempt_age_s(
             route.name, req.deadline_s
         )
-        return Call(
+        return RequestPlan(
             route=route,
             service=route.service_for(self._req.rid),
             organisation=organisation,
-            tokens=self._tokens(organisation),
-            ends=deadline,
-            tried_at=req.arrived - since_first_attempt_s,
+            quota_tokens=self._quota_tokens(organisation),
+            deadline=deadline,
+            first_attempt_at=req.arrived_at - since_first_attempt_s,
             fingerprint=fingerprint_of(req, organisation.name if organisation else ""),
-            regions=_regions(route, organisation),
+            allowed_regions=_allowed_regions(route, organisation),
         )
 
-    def _tokens(self, organisation: Organisation | None) -> int:
+    def _quota_tokens(self, organisation: Organisation | None) -> int:
         if self._req.has_token_counts:
-            return self._req.prompt_tokens + self._req.most_tokens
+            return self._req.prompt_tokens + self._req.max_output_tokens
         return organisation.default_tokens if organisation else 0
 
-    def _over_limit(self, call: Call) -> Refusal | None:
+    def _charge_quota(self, plan: RequestPlan) -> Refusal | None:
         """Charge the request's tokens; return a refusal if its quota is exceeded."""
-        if call.organisation is None:
+        if plan.organisation is None:
             return None
-        exceeded = self._ctx.spending.admit(
-            call.organisation, call.tokens, self._ctx.now(), tier=call.route.tier
+        exceeded = self._ctx.quotas.admit(
+            plan.organisation, plan.quota_tokens, self._ctx.now(), tier=plan.route.tier
         )
         if exceeded is None:
             return None
@@ -144,93 +146,97 @@
             retry_after_s=exceeded.retry_after_s,
         )
 
-    def _forward(self, call: Call, *, is_trial: bool) -> Refusal | None:
-        organisation = call.organisation
+    def _forward(self, plan: RequestPlan, *, is_probe: bool) -> Refusal | None:
+        organisation = plan.organisation
         charged_at = self._ctx.now()
-        forwarder = Forward(
+        forwarder = Forwarder(
             self._ctx,
-            self._job(call),
+            self._make_job(plan),
             self._req,
             self._caller,
-            organisation=call.organisation_name,
-            fingerprint=call.fingerprint,
-            is_trial=is_trial,
-            most_idle=self._most_idle(call.service),
+            organisation=plan.organisation_name,
+            fingerprint=plan.fingerprint,
+            is_probe=is_probe,
+            max_idle=self._max_idle(plan.service),
         )
-        self._forwarded = forwarder
+        self._forwarder = forwarder
         try:
             return forwarder.run()
         finally:
             if not forwarder.may_have_run and organisation is not None:
-                self._ctx.spending.refund(organisation, call.tokens, charged_at)
+                self._ctx.quotas.refund(organisation, plan.quota_tokens, charged_at)
 
-    def _job(self, call: Call) -> Job:
+    def _make_job(self, plan: RequestPlan) -> Job:
         req = self._req
-        route = call.route
-        own_tier = call.organisation.tier if call.organisation else None
+        route = plan.route
+        own_tier = plan.organisation.tier if plan.organisation else None
         tier = route.tier if own_tier is None else own_tier
-        time_left_s = call.ends - req.arrived
+        time_left_s = plan.deadline - req.arrived_at
         return Job(
             rid=req.rid,
             route=route,
-            service=call.service,
+            service=plan.service,
             rank=(tier, route.tier),
             prompt_tokens=req.prompt_tokens,
-            expected_events=self._likely_events(call.service),
+            expected_events=self._expected_events(plan.service),
             prefix=req.prefix,
-            arrived_at=req.arrived,
-            queue_deadline=req.arrived + queue_timeout_s(route, time_left_s),
-            deadline=call.ends,
-            estimated_first_attempt_at=call.tried_at,
+            arrived_at=req.arrived_at,
+            queue_deadline=req.arrived_at + queue_timeout_s(route, time_left_s),
+            deadline=plan.deadline,
+            estimated_first_attempt_at=plan.first_attempt_at,
             allowed_halls=None
-            if call.regions is None
-            else self._ctx.halls_in(call.regions),
-            fingerprint=call.fingerprint,
+            if plan.allowed_regions is None
+            else self._ctx.halls_in(plan.allowed_regions),
+            fingerprint=plan.fingerprint,
         )
 
-    def _most_idle(self, service: str) -> int:
+    def _max_idle(self, service: str) -> int:
         """Return the maximum number of idle connections to an endpoint of a service."""
         declared = self._revision.services.get(service)
         if declared is None:
             return 1
-        return idle_share(declared.max_connections, self._ctx.entries)
+        return idle_share(declared.max_connections, self._ctx.entry_count)
 
-    def _likely_events(self, service: str) -> float:
+    def _expected_events(self, service: str) -> float:
         """Return the expected number of events in the response."""
         declared = self._revision.services.get(service)
-        tokens = self._req.hint_tokens or self._req.most_tokens
+        tokens = self._req.expected_output_tokens or self._req.max_output_tokens
         return tokens / (declared.event_tokens if declared else 1.0)
 
-    def _judge(self) -> Outcome:
+    def _classify_response(self) -> Outcome:
         """Classify the complete response by how well it served its caller."""
-        if self._call is None or self._forwarded is None:
+        if self._plan is None or self._forwarder is None:
             return Outcome.FAILED
         return classify_response(
-            self._call.route, self._forwarded.progress, self._call.tried_at
+            self._plan.route, self._forwarder.progress, self._plan.first_attempt_at
         )
 
     def _refuse(self, refusal: Refusal) -> None:
         counters = self._ctx.counters
         if self._caller.head_sent:
             counters.cut += 1
-            self._end(Event.REQUEST_CUT, Outcome.CUT, refusal)
+            self._record_end(Event.REQUEST_CUT, Outcome.CUT, refusal)
             self._caller.abort()
             return
         if refusal.verdict is Verdict.NOT_RUN:
             counters.refused += 1
-            self._end(Event.REQUEST_REFUSED, Outcome.REFUSED, refusal)
+            self._record_end(Event.REQUEST_REFUSED, Outcome.REFUSED, refusal)
         else:
             counters.lost += 1
-            self._end(Event.REQUEST_LOST, Outcome.LOST, refusal)
-        self._caller.send_whole(*self._ctx.dialect.refusal(refusal, self._req.rid))
+            self._record_end(Event.REQUEST_LOST, Outcome.LOST, refusal)
+        self._caller.send_response(*self._ctx.adapter.refusal(refusal, self._req.rid))
 
-    def _end(self, event: Event, outcome: Outcome, refusal: Refusal | None = None) -> None:
+    def _record_end(
+        self, event: Event, outcome: Outcome, refusal: Refusal | None = None
+    ) -> None:
         """Count and log how the request ended."""
-        record = RequestSummary(self._ctx, self._req, self._call, self._forwarded)
+        record = RequestSummary(self._ctx, self._req, self._plan, self._forwarder)
         record.emit(event, outcome, refusal, revision=self._revision.number)
 
 
-def _regions(route: Route, organisation: Organisation | None) -> frozenset[str] | None:
+def _allowed_regions(
+    route: Route, organisation: Organisation | None
+) -> frozenset[str] | None:
     """Return the regions in which a request may run; ``None`` for all.
 
     If both the route and the organisation restrict the regions, both restrictions apply.
--- a/dockreach/direct/call.py
+++ b/dockreach/direct/request_plan.py
@@ -8,26 +8,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
+class RequestPlan:
     """How one request is to be handled under the current configuration.
 
     Attributes:
         organisation: The organisation that sent it; ``None`` on a public route.
-        tokens: Tokens charged to the organisation's quota.
-        ends: Monotonic time at which the caller or the route gives up on it, in seconds.
-        tried_at: Monotonic time of its caller's first attempt, in seconds.
+        quota_tokens: Tokens charged to the organisation's quota.
+        deadline: Monotonic time at which the caller or the route gives up on it, in seconds.
+        first_attempt_at: Monotonic time of its caller's first attempt, in seconds.
         fingerprint: Identifies the request; the same for all attempts of its caller.
-        regions: Regions in which it may run; ``None`` for all.
+        allowed_regions: Regions in which it may run; ``None`` for all.
     """
 
     route: Route
     service: str
     organisation: Organisation | None
-    tokens: int
-    ends: float
-    tried_at: float
+    quota_tokens: int
+    deadline: float
+    first_attempt_at: float
     fingerprint: bytes
-    regions: frozenset[str] | None = None
+    allowed_regions: frozenset[str] | None = None
 
     @property
     def organisation_name(self) -> str:
--- a/dockreach/direct/request_summary.py
+++ b/dockreach/direct/request_summary.py
@@ -6,11 +6,11 @@
 
 from ..events import Event, log
 from ..verdict import Refusal
-from .attempt import NOWHERE
-from .call import Call
+from .attempt import NO_PLACEMENT
 from .context import Context
-from .forward import Forward
+from .forwarder import Forwarder
 from .outcomes import DeliveryProgress, Outcome, OutcomeKey
+from .request_plan import RequestPlan
 from .requests import InboundRequest
 
 
@@ -28,8 +28,8 @@
         self,
         ctx: Context,
         req: InboundRequest,
-        plan: Call | None,
-        forwarder: Forward | None,
+        plan: RequestPlan | None,
+        forwarder: Forwarder | None,
     ) -> None:
         self._ctx = ctx
         self._req = req
@@ -42,7 +42,7 @@
     ) -> None:
         """Count and log the outcome of the request."""
         reason = refusal.reason.value if refusal is not None else ""
-        duration_s = self._ctx.now() - self._req.arrived
+        duration_s = self._ctx.now() - self._req.arrived_at
         if self._plan is not None:
             self._count_outcome(self._plan, outcome, reason, duration_s)
             self._observe_first_event(self._plan)
@@ -54,31 +54,31 @@
             reason=reason,
             detail=refusal.detail if refusal is not None else "",
             held_ms=round(duration_s * 1000),
-            peers=self._ctx.entries - 1,
+            peers=self._ctx.entry_count - 1,
             **self._plan_fields(),
             **self._placement_fields(),
         )
 
     def _count_outcome(
-        self, plan: Call, outcome: Outcome, reason: str, duration_s: float
+        self, plan: RequestPlan, outcome: Outcome, reason: str, duration_s: float
     ) -> None:
         key = OutcomeKey(
             route=plan.route.name,
             tier=plan.route.tier,
             outcome=outcome,
             reason=reason,
-            is_retry=plan.tried_at < self._req.arrived,
+            is_retry=plan.first_attempt_at < self._req.arrived_at,
         )
         objective_s = plan.route.objective_s
-        self._ctx.tally.record(key, duration_s / objective_s if objective_s else 0.0)
+        self._ctx.outcomes.record(key, duration_s / objective_s if objective_s else 0.0)
 
-    def _observe_first_event(self, plan: Call) -> None:
+    def _observe_first_event(self, plan: RequestPlan) -> None:
         """Observe the time from the caller's first attempt to the first event."""
         if self._progress.first_at is not None:
             self._ctx.metrics.observe(
                 "dockreach_direct_first_event_seconds",
                 "Time from a caller's first try to the first event or a plain answer",
-                self._progress.first_at - plan.tried_at,
+                self._progress.first_at - plan.first_attempt_at,
                 {"route": plan.route.name, "tier": str(plan.route.tier)},
             )
 
@@ -93,14 +93,14 @@
             "organisation": plan.organisation_name,
             "fingerprint": plan.fingerprint.hex(),
             "objective_ms": round(plan.route.objective_s * 1000),
-            "tried_ms": round((self._req.arrived - plan.tried_at) * 1000),
+            "tried_ms": round((self._req.arrived_at - plan.first_attempt_at) * 1000),
         }
 
     def _placement_fields(self) -> dict[str, Any]:
         """Return the log fields for the response and the last placement."""
         forwarder = self._forwarder
-        placement = (forwarder and forwarder.placement) or NOWHERE
-        first_s = (self._progress.first_at or self._req.arrived) - self._req.arrived
+        placement = (forwarder and forwarder.placement) or NO_PLACEMENT
+        first_s = (self._progress.first_at or self._req.arrived_at) - self._req.arrived_at
         return {
             "attempts": len(forwarder.attempts) if forwarder else 0,
             "events": self._progress.events,
@@ -108,8 +108,8 @@
             "gap_ms": round(self._progress.longest_gap_s * 1000),
             "endpoint": placement.endpoint,
             "waited_ms": round(placement.waited_s * 1000),
-            "own": placement.own,
-            "others": placement.others,
+            "own": placement.in_flight_here,
+            "others": placement.in_flight_elsewhere,
             "slots": placement.slots,
             "granted_by": placement.granted_by,
         }
--- a/dockreach/direct/requests.py
+++ b/dockreach/direct/requests.py
@@ -22,13 +22,13 @@
         deadline_s: How long the caller waits from `arrived`, in seconds; ``None`` if it
             sent no deadline.
         prompt_tokens: Tokens of the prompt; 0 if not given.
-        most_tokens: Upper limit of the generated tokens; 0 if not given.
-        hint_tokens: The caller's estimate of the generated tokens; 0 if not given. It is
+        max_output_tokens: Upper limit of the generated tokens; 0 if not given.
+        expected_output_tokens: The caller's estimate of the generated tokens; 0 if not given. It is
             right in the median and often far off.
         has_token_counts: Whether the caller sent token counts.
         prefix: Ids and token counts of the prompt's parts, in order.
         last_event_id: Id of the last event that the caller has; empty if it sent none.
-        arrived: Monotonic time at which it was complete, in seconds.
+        arrived_at: Monotonic time at which it was complete, in seconds.
     """
 
     rid: str
@@ -40,12 +40,12 @@
     key: str
     deadline_s: float | None
     prompt_tokens: int
-    most_tokens: int
-    hint_tokens: int
+    max_output_tokens: int
+    expected_output_tokens: int
     has_token_counts: bool
     prefix: tuple[tuple[str, int], ...]
     last_event_id: str
-    arrived: float
+    arrived_at: float
     has_body: bool = True
 
     @property
@@ -54,17 +54,17 @@
         return self.target.decode("latin-1").split("?", 1)[0]
 
 
-class Standing(enum.Enum):
+class ExecutionStatus(enum.Enum):
     """Whether the endpoint ran the request, according to the response head."""
 
     RAN = "ran"
     NOT_RUN = "not_run"
-    OTHER_ENDPOINT = "other_endpoint"
+    MISDIRECTED = "other_endpoint"
     """Another endpoint uses the address now; it has not run the request."""
 
 
 @dataclass(frozen=True, slots=True)
-class Load:
+class ReportedLoad:
     """The load that an endpoint reports in a response."""
 
     running: int
@@ -73,14 +73,14 @@
 
 
 @dataclass(slots=True)
-class AnswerHead:
+class ResponseHead:
     """Status and headers of an endpoint's response.
 
     Attributes:
         load: Load that the endpoint reports. Not used to select an endpoint: the digests
             of other entries are fresher than the load in an earlier response.
         rid: Id of the request that the response belongs to; empty if not given.
-        kept_s: How long the endpoint keeps the idle connection open, in seconds; ``None``
+        keep_alive_s: How long the endpoint keeps the idle connection open, in seconds; ``None``
             if not given.
         notice: Other status headers of the endpoint.
     """
@@ -89,7 +89,7 @@
     reason: bytes
     headers: list[Header]
     rid: str
-    standing: Standing
-    load: Load | None
-    kept_s: float | None
+    execution_status: ExecutionStatus
+    load: ReportedLoad | None
+    keep_alive_s: float | None
     notice: EndpointNotice = NO_NOTICE
--- a/dockreach/direct/caller_side.py
+++ b/dockreach/direct/response_sink.py
@@ -7,7 +7,7 @@
 from .http1 import RawHead
 
 
-class CallerSide(Protocol):
+class ResponseSink(Protocol):
     """Receives the response to one request.
 
     Attributes:
@@ -22,7 +22,7 @@
     def send_data(self, data: bytes) -> None:
         """Send a part of the response's body."""
 
-    def send_whole(self, head: RawHead, body: bytes) -> None:
+    def send_response(self, head: RawHead, body: bytes) -> None:
         """Send a complete response."""
 
     def end(self) -> None:
--- a/dockreach/direct/serving.py
+++ b/dockreach/direct/serving.py
@@ -16,29 +16,29 @@
 from ..verdict import Reason, Refusal, Verdict
 from .caller_connection import CallerConnection
 from .context import Context
-from .exchange import Exchange
 from .http1 import BadRequestError, RawHead, RawRequest
+from .request_handler import RequestHandler
 from .routing_config import CallerLimits, ConfigRevision
 
-ACCEPT_AGAIN_S = 0.1
+ACCEPT_RETRY_DELAY_S = 0.1
 """Delay before the next accept after a failed one, in seconds."""
 
-CHECK_S = 0.05
+DRAIN_POLL_INTERVAL_S = 0.05
 """Interval at which a stopping entry checks for remaining connections, in seconds."""
 
-SOON_S = 0.1
+NOT_SERVING_RETRY_AFTER_S = 0.1
 """Retry time for a caller that is refused because the entry has no configuration yet or is
 stopping, in seconds: another entry can serve it, or this one soon."""
 
-NOTICE_S = 2.5
+SERVE_WHILE_STOPPING_S = 2.5
 """Time after the signal to stop in which new requests are still served, in seconds: the
 load balancer checks each second, and removes an entry after two failed checks."""
 
-END_EARLY_S = 0.7
+EXIT_MARGIN_S = 0.7
 """How long before it would be killed the entry exits by itself, in seconds."""
 
 
-class Owner(Protocol):
+class ServingEntry(Protocol):
     """The attributes of an entry that are needed to serve callers."""
 
     revision: ConfigRevision | None
@@ -54,7 +54,7 @@
             sock, _ = green_listener.accept()
         except OSError as exc:
             log(Event.ACCEPT_FAILED, str(exc))
-            eventlet.sleep(ACCEPT_AGAIN_S)
+            eventlet.sleep(ACCEPT_RETRY_DELAY_S)
             continue
         eventlet.spawn_n(serve, sock)
 
@@ -63,11 +63,11 @@
     """Serves callers' connections.
 
     Args:
-        owner: The entry.
+        entry: The entry.
     """
 
-    def __init__(self, owner: Owner) -> None:
-        self._owner = owner
+    def __init__(self, entry: ServingEntry) -> None:
+        self._entry = entry
         self._connections: dict[CallerConnection, Any] = {}
 
     def __len__(self) -> int:
@@ -76,7 +76,7 @@
     def serve(self, sock: Any) -> None:  # noqa: ANN401
         """Serve one connection until it ends."""
         try:
-            conn = CallerConnection(sock, _limits(self._owner.revision))
+            conn = CallerConnection(sock, _caller_limits(self._entry.revision))
         except OSError:
             # The caller reset the connection before it was served.
             sock.close()
@@ -85,7 +85,7 @@
         try:
             self._serve_connection(conn)
         except CallerGoneError:
-            self._owner.ctx.counters.callers_gone += 1
+            self._entry.ctx.counters.callers_gone += 1
         except Exception as exc:  # noqa: BLE001
             # An unexpected error ends one connection and not the entry.
             log(Event.INTERNAL_ERROR, repr(exc), trace=traceback.format_exc())
@@ -99,17 +99,17 @@
             try:
                 raw = conn.read_request()
             except BadRequestError as exc:
-                self._refuse_bad(conn, exc)
+                self._refuse_malformed(conn, exc)
                 return
             if raw is None:
                 return
-            conn.is_closing = self._owner.stopping_since is not None
+            conn.is_closing = self._entry.stopping_since is not None
             try:
                 self._serve_watched(conn, raw)
             except BadRequestError as exc:
-                self._refuse_bad(conn, exc)
+                self._refuse_malformed(conn, exc)
                 return
-            if not conn.next_request():
+            if not conn.prepare_next_request():
                 return
 
     def _serve_watched(self, conn: CallerConnection, raw: RawRequest) -> None:
@@ -120,10 +120,10 @@
         """
         # After a pause, an entry finds requests whose callers have given up already: none
         # of them may reach an endpoint.
-        if conn.has_left():
+        if conn.has_disconnected():
             raise CallerGoneError("caller closed its connection before it was served")
-        server = eventlet.spawn(self._serve_until_gone, conn, raw)
-        watcher = eventlet.spawn(self._watch, conn, server)
+        server = eventlet.spawn(self._serve_catching_disconnect, conn, raw)
+        watcher = eventlet.spawn(self._stop_on_disconnect, conn, server)
         try:
             disconnect: CallerGoneError | None = server.wait()
         finally:
@@ -131,7 +131,7 @@
         if disconnect is not None:
             raise disconnect
 
-    def _serve_until_gone(
+    def _serve_catching_disconnect(
         self, conn: CallerConnection, raw: RawRequest
     ) -> CallerGoneError | None:
         """Serve a request; return the error if its caller closed the connection.
@@ -145,32 +145,34 @@
         return None
 
     @staticmethod
-    def _watch(conn: CallerConnection, server: Any) -> None:  # noqa: ANN401
-        conn.watch()
+    def _stop_on_disconnect(conn: CallerConnection, server: Any) -> None:  # noqa: ANN401
+        conn.wait_for_disconnect()
         server.kill(CallerGoneError("caller closed its connection"))
 
     def _serve_request(self, conn: CallerConnection, raw: RawRequest) -> None:
-        req = self._owner.ctx.dialect.read_request(raw, clock.now())
-        revision = self._owner.revision
-        if revision is None or self._is_too_late():
+        req = self._entry.ctx.adapter.read_request(raw, clock.now())
+        revision = self._entry.revision
+        if revision is None or self._is_too_late_to_serve():
             reason = Reason.STOPPING if revision else Reason.NOT_READY
-            refusal = Refusal(Verdict.NOT_RUN, reason, retry_after_s=SOON_S)
+            refusal = Refusal(
+                Verdict.NOT_RUN, reason, retry_after_s=NOT_SERVING_RETRY_AFTER_S
+            )
             log(Event.REQUEST_REFUSED, rid=req.rid, reason=reason.value)
-            conn.send_whole(*self._owner.ctx.dialect.refusal(refusal, req.rid))
+            conn.send_response(*self._entry.ctx.adapter.refusal(refusal, req.rid))
             return
-        Exchange(self._owner.ctx, revision, req, conn).run()
+        RequestHandler(self._entry.ctx, revision, req, conn).run()
 
-    def _is_too_late(self) -> bool:
+    def _is_too_late_to_serve(self) -> bool:
         """Return whether a request that is accepted now might not end before the exit."""
-        since = self._owner.stopping_since
-        return since is not None and clock.now() > since + NOTICE_S
+        since = self._entry.stopping_since
+        return since is not None and clock.now() > since + SERVE_WHILE_STOPPING_S
 
-    def _refuse_bad(self, conn: CallerConnection, exc: BadRequestError) -> None:
+    def _refuse_malformed(self, conn: CallerConnection, exc: BadRequestError) -> None:
         log(Event.BAD_REQUEST, str(exc), status=exc.status)
         if conn.head_sent:
             return
         conn.is_closing = True
-        conn.send_whole(RawHead(exc.status, b"Bad Request", []), b"")
+        conn.send_response(RawHead(exc.status, b"Bad Request", []), b"")
 
     def drain(self, since: float, grace_s: float) -> None:
         """Finish the requests in flight, then return.
@@ -181,12 +183,12 @@
         """
         for conn in self._connections:
             conn.is_closing = True
-        while clock.now() < since + grace_s - END_EARLY_S:
-            if clock.now() >= since + NOTICE_S:
+        while clock.now() < since + grace_s - EXIT_MARGIN_S:
+            if clock.now() >= since + SERVE_WHILE_STOPPING_S:
                 self._close_idle()
                 if not self._connections:
                     return
-            eventlet.sleep(CHECK_S)
+            eventlet.sleep(DRAIN_POLL_INTERVAL_S)
 
     def _close_idle(self) -> None:
         """Close connections on which no request is in flight.
@@ -199,5 +201,5 @@
                 eventlet.kill(server, CallerGoneError("the entry is stopping"))
 
 
-def _limits(revision: ConfigRevision | None) -> CallerLimits:
+def _caller_limits(revision: ConfigRevision | None) -> CallerLimits:
     return revision.limits if revision else CallerLimits()
--- a/dockreach/direct/status_pages.py
+++ b/dockreach/direct/status_pages.py
@@ -26,8 +26,8 @@
     try:
         conn = CallerConnection(sock, CallerLimits())
         while (raw := conn.read_request()) is not None:
-            conn.send_whole(*page(raw.target))
-            if not conn.next_request():
+            conn.send_response(*page(raw.target))
+            if not conn.prepare_next_request():
                 break
     except (BadRequestError, CallerGoneError, OSError) as exc:
         log(Event.PAGE_FAILED, str(exc))
--- a/dockreach/direct/view_sync.py
+++ b/dockreach/direct/view_sync.py
@@ -17,7 +17,7 @@
 from ..events import Event, log
 from . import view as views
 from .endpoint_connection import EndpointConnection
-from .http1 import AnswerError, ConnectError
+from .http1 import ConnectError, ResponseError
 from .loops import run_forever
 from .peers import PeerRow, PeerTable
 from .view import View
@@ -117,7 +117,7 @@
         try:
             data = _fetch(f"{address.ip}:{address.port}")
             self._apply_view(views.decode(data), peer.digest.name)
-        except (ConnectError, AnswerError, WireError) as exc:
+        except (ConnectError, ResponseError, WireError) as exc:
             log(Event.PEER_SILENT, str(exc), peer=peer.digest.name)
 
 
@@ -155,11 +155,11 @@
 def _fetch(address: str) -> bytes:
     conn = EndpointConnection(address, CONNECT_TIMEOUT_S)
     try:
-        conn.limit_silence(READ_TIMEOUT_S)
+        conn.set_read_timeout(READ_TIMEOUT_S)
         conn.send(b"GET", views.PATH, [(b"Host", address.encode())], None)
         head = conn.read_head()
         if head.status != 200:
-            raise AnswerError(f"{address}: status {head.status}")
+            raise ResponseError(f"{address}: status {head.status}")
         return conn.read_body(MAX_VIEW_BYTES)
     finally:
         conn.close()
--- a/tests/direct/advertising_engines.py
+++ b/tests/direct/advertising_engines.py
@@ -51,7 +51,7 @@
         entry, _, _ = dialog.rid.decode().partition("/")
         self.arrivals.append((time.monotonic(), entry))
         eventlet.sleep(self.work_s)
-        dialog.answer(b"fine", self.status, self.extra_headers)
+        dialog.respond(b"fine", self.status, self.extra_headers)
 
     def reject_requests(self, extra: bytes = b"") -> None:
         """Respond 503 from now on, without running anything."""
@@ -92,7 +92,7 @@
     def publish(self, *, seq: int = 1) -> None:
         """Publish all engines as the platform does, none of them as leaving."""
         for engine, entry in itertools.product(self.engines, self.entries):
-            entry.take_endpoint(
+            entry.apply_endpoint(
                 published_in_incarnation(engine.name, engine.stand_in.address, seq=seq)
             )
 
@@ -100,7 +100,7 @@
         """Send a request to one entry; return the response."""
         caller = Caller(self.entries[number])
         caller.send(path, rid=f"entry-{number}/{next(self._rids)}")
-        response = caller.read_answer()
+        response = caller.read_response()
         caller.close()
         self.statuses.append((time.monotonic(), int(response.split(b" ", 2)[1])))
         return response
--- a/tests/direct/cores.py
+++ b/tests/direct/core_builders.py
@@ -26,11 +26,11 @@
     age_s: float = 100.0,
     leaving: bool = False,
     revision: int = 1,
-    fleet_revision: int = 1,
-    under_way: dict[str, int] | None = None,
-    spent: dict[str, list[int]] | None = None,
-    fleet_spent: dict[str, int] | None = None,
-    known: list[Address] | None = None,
+    endpoints_revision: int = 1,
+    in_flight: dict[str, int] | None = None,
+    used: dict[str, list[int]] | None = None,
+    fleet_used: dict[str, int] | None = None,
+    known_peers: list[Address] | None = None,
     capacity: float = 1.0,
     hall: str = "",
     configuration_age_s: float = 0.0,
@@ -44,11 +44,11 @@
         age_s=age_s,
         leaving=leaving,
         revision=revision,
-        endpoints_revision=fleet_revision,
-        in_flight=under_way or {},
-        used=spent or {},
-        fleet_used=fleet_spent,
-        known_peers=known or [],
+        endpoints_revision=endpoints_revision,
+        in_flight=in_flight or {},
+        used=used or {},
+        fleet_used=fleet_used,
+        known_peers=known_peers or [],
         capacity=capacity,
         hall=hall,
         configuration_age_s=configuration_age_s,
@@ -88,12 +88,12 @@
     rid: str,
     *,
     tier: int = 0,
-    arrived: float = 0.0,
-    give_up: float | None = None,
-    events: float = 10.0,
+    arrived_at: float = 0.0,
+    queue_deadline: float | None = None,
+    expected_events: float = 10.0,
     prompt_tokens: int = 1000,
-    ends: float | None = None,
-    tried_at: float | None = None,
+    deadline: float | None = None,
+    estimated_first_attempt_at: float | None = None,
 ) -> Job:
     """Return a job for the service ``work``."""
     return Job(
@@ -102,12 +102,14 @@
         service="work",
         rank=(tier,),
         prompt_tokens=prompt_tokens,
-        expected_events=events,
+        expected_events=expected_events,
         prefix=(),
-        arrived_at=arrived,
-        queue_deadline=arrived + 3.0 if give_up is None else give_up,
-        deadline=arrived + 8.0 if ends is None else ends,
-        estimated_first_attempt_at=arrived if tried_at is None else tried_at,
+        arrived_at=arrived_at,
+        queue_deadline=arrived_at + 3.0 if queue_deadline is None else queue_deadline,
+        deadline=arrived_at + 8.0 if deadline is None else deadline,
+        estimated_first_attempt_at=arrived_at
+        if estimated_first_attempt_at is None
+        else estimated_first_attempt_at,
     )
 
 
@@ -122,12 +124,12 @@
 
 def dispatcher(
     table: EndpointTable,
-    choice: SelectionPolicy = SelectionPolicy.MEASURED,
+    policy: SelectionPolicy = SelectionPolicy.MEASURED,
     *,
     extra: int = 0,
 ) -> Dispatcher:
     """Return a dispatcher that sends endpoints `extra` requests beyond their slots."""
-    return Dispatcher(table, EndpointSelector(table, "hall1", choice, extra_requests=extra))
+    return Dispatcher(table, EndpointSelector(table, "hall1", policy, extra_requests=extra))
 
 
 def placed(rows: list[Decision]) -> list[str]:
--- a/tests/direct/crashing_engines.py
+++ b/tests/direct/crashing_engines.py
@@ -35,7 +35,7 @@
             of them runs.
     """
     entry = start_entry()
-    entry.take_endpoint(published("e-0", EndpointStandIn(serve).address, slots=1))
+    entry.apply_endpoint(published("e-0", EndpointStandIn(serve).address, slots=1))
     callers = [Caller(entry) for _ in range(4)]
     for number, caller in enumerate(callers):
         body = CRASHING_BODY if number == 3 else str(number).encode()
@@ -48,7 +48,7 @@
     """Send a harmless request, read the response, and count the suspected requests."""
     caller = Caller(entry)
     caller.send(path, body=b"sound")
-    caller.read_answer()
+    caller.read_response()
     eventlet.sleep(GOSSIP_S)
     return len(entry.ctx.crashes.quarantine)
 
@@ -86,7 +86,7 @@
         def run(dialog: Dialog) -> None:
             eventlet.sleep(CRASH_DELAY_S)
             if not dialog.request.endswith(CRASHING_BODY):
-                dialog.answer(b"fine")
+                dialog.respond(b"fine")
                 return
             self.crashed.append(name)
             engine.close()
@@ -96,12 +96,12 @@
 
         engine = EndpointStandIn(run)
         for entry in self.entries:
-            entry.take_endpoint(published(name, engine.address))
+            entry.apply_endpoint(published(name, engine.address))
 
     def request(self, entry: Entry, body: bytes, *, path: str = "/once/a") -> bytes:
         """Send a request with an id of its own; return the response."""
         caller = Caller(entry)
         caller.send(path, rid=f"r-{next(self._rids)}", body=body)
-        response = caller.read_answer()
+        response = caller.read_response()
         caller.close()
         return response
--- a/tests/direct/standins.py
+++ b/tests/direct/standins.py
@@ -27,11 +27,11 @@
     Split,
 )
 from dockreach.direct.token_quota import QuotaTolerance
-from dockreach_platform.headers import PlatformDialect
+from dockreach_platform.headers import PlatformAdapter
 
 LOCAL = "127.0.0.1"
-READ_S = 3.0
-SILENCE_S = 60.0
+READ_TIMEOUT_S = 3.0
+STALL_S = 60.0
 """How long a stalled connection is kept open, in seconds: longer than any test."""
 
 Script = Callable[["Dialog"], None]
@@ -43,8 +43,8 @@
     def __init__(self, sock: Any) -> None:  # noqa: ANN401
         self.sock = sock
         self.request = b""
-        self.left = False
-        self.is_muted = False
+        self.is_closed_by_peer = False
+        self.is_stalled = False
 
     def read(self) -> bytes:
         """Read one request, up to its length."""
@@ -70,7 +70,7 @@
         """Send bytes unchanged."""
         self.sock.sendall(data)
 
-    def answer(self, body: bytes, status: bytes = b"200 OK", extra: bytes = b"") -> None:
+    def respond(self, body: bytes, status: bytes = b"200 OK", extra: bytes = b"") -> None:
         """Send a complete response to the request."""
         length = str(len(body)).encode()
         self.send(
@@ -96,12 +96,12 @@
         """Reset the connection."""
         reset(self.sock)
 
-    def wait_until_left(self) -> None:
+    def wait_until_closed(self) -> None:
         """Wait until the peer closes the connection."""
         try:
-            self.left = self.sock.recv(1) == b""
+            self.is_closed_by_peer = self.sock.recv(1) == b""
         except OSError:
-            self.left = True
+            self.is_closed_by_peer = True
 
 
 class EndpointStandIn:
@@ -125,8 +125,8 @@
         self.dialogs.append(dialog)
         try:
             while dialog.read():
-                if dialog.is_muted:
-                    eventlet.sleep(SILENCE_S)
+                if dialog.is_stalled:
+                    eventlet.sleep(STALL_S)
                 number = len(self.requests)
                 self.requests.append(dialog.request)
                 self.scripts[min(number, len(self.scripts) - 1)](dialog)
@@ -134,14 +134,14 @@
             # The entry closed the connection, or this endpoint did so while it waited.
             return
 
-    def mute(self) -> None:
+    def stall_open_connections(self) -> None:
         """Stall all connections that are open now; new ones work."""
         for dialog in self.dialogs:
-            dialog.is_muted = True
+            dialog.is_stalled = True
 
     def close(self) -> None:
         """Stop listening."""
-        let_go(self._listener)
+        wake_waiting_greenlets(self._listener)
         self._listener.close()
 
 
@@ -167,11 +167,11 @@
     """Reset a connection."""
     linger = struct.pack("ii", 1, 0)
     sock.setsockopt(plain_socket.SOL_SOCKET, plain_socket.SO_LINGER, linger)
-    let_go(sock)
+    wake_waiting_greenlets(sock)
     sock.close()
 
 
-def let_go(sock: Any) -> None:  # noqa: ANN401
+def wake_waiting_greenlets(sock: Any) -> None:  # noqa: ANN401
     """Wake greenlets that wait on a socket before it is closed and its number reused."""
     if sock.fileno() >= 0:
         eventlet.hubs.notify_opened(sock.fileno())
@@ -184,8 +184,8 @@
 
 
 FIRST_PORT = 15000
-PORTS_A_WORKER = 800
-RANGES = 20
+PORTS_PER_PROCESS = 800
+PORT_RANGES = 20
 """Ports below the system's ephemeral ports (32768 and more), so that none is taken between
 its selection and its use. Each process that runs tests reserves a range of its own, also
 when two test runs overlap."""
@@ -197,8 +197,8 @@
     Raises:
         OSError: All ranges are in use.
     """
-    for index in range(RANGES):
-        first = FIRST_PORT + index * PORTS_A_WORKER
+    for index in range(PORT_RANGES):
+        first = FIRST_PORT + index * PORTS_PER_PROCESS
         sock = plain_socket.socket()
         try:
             # The first port is not used otherwise: being bound, it marks the range as used.
@@ -206,7 +206,7 @@
         except OSError:
             sock.close()
             continue
-        return sock, iter(range(first + 1, first + PORTS_A_WORKER))
+        return sock, iter(range(first + 1, first + PORTS_PER_PROCESS))
     raise OSError("no range of ports is free")
 
 
@@ -241,14 +241,14 @@
 
 
 def route(
-    repeat: RetryMode, *, prefix: str, stream: bool = False, attempts: int = 2
+    retry_mode: RetryMode, *, prefix: str, stream: bool = False, attempts: int = 2
 ) -> Route:
     """Return a route to the service ``work``."""
     return Route(
         name=prefix.strip("/"),
         host="tools.example",
         prefix=prefix,
-        retry_mode=repeat,
+        retry_mode=retry_mode,
         is_stream=stream,
         timeout_s=5.0,
         objective_s=0.4,
@@ -300,25 +300,25 @@
         gossip=Address(LOCAL, free_port()),
         metrics=Address(LOCAL, free_port()),
         seeds=(),
-        has_past=False,
+        has_predecessor=False,
         grace_s=grace_s,
         metrics_path="/metrics",
-        tolerance=QuotaTolerance(),
-        retries=RetryPolicy(),
+        quota_tolerance=QuotaTolerance(),
+        retry_policy=RetryPolicy(),
     )
 
 
 def start_entry(
     *endpoints: EndpointStandIn,
-    in_force: ConfigRevision | None = None,
+    config: ConfigRevision | None = None,
     settings: EntrySettings | None = None,
 ) -> Entry:
     """Start an entry in this process that forwards to some endpoints."""
-    entry = Entry(settings or entry_settings(), PlatformDialect(), SelectionPolicy.MEASURED)
+    entry = Entry(settings or entry_settings(), PlatformAdapter(), SelectionPolicy.MEASURED)
     entry.start()
-    entry.take_revision(in_force or revision(), "test")
+    entry.apply_revision(config or revision(), "test")
     listed = [published(f"e-{i}", row.address) for i, row in enumerate(endpoints)]
-    entry.take_all(listed, 1)
+    entry.replace_endpoints(listed, 1)
     return entry
 
 
@@ -339,7 +339,7 @@
     def __init__(self, entry: Entry) -> None:
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.connect((LOCAL, entry.settings.callers.port))
-        self.sock.settimeout(READ_S)
+        self.sock.settimeout(READ_TIMEOUT_S)
 
     def send(
         self,
@@ -361,7 +361,7 @@
             head += f"Content-Length: {len(body)}\r\n"
         self.sock.sendall(head.encode() + b"\r\n" + body)
 
-    def read_some(self) -> bytes:
+    def read_available(self) -> bytes:
         """Read the available data; empty if the entry closed the connection."""
         data: bytes = self.sock.recv(65536)
         return data
@@ -369,15 +369,15 @@
     def read_all(self) -> bytes:
         """Read until the connection is closed."""
         data = b""
-        while received := self.read_some():
+        while received := self.read_available():
             data += received
         return data
 
-    def read_answer(self) -> bytes:
+    def read_response(self) -> bytes:
         """Read one response, up to its length or its last chunk."""
         data = b""
         while not _is_whole(data):
-            received = self.read_some()
+            received = self.read_available()
             if not received:
                 return data
             data += received
@@ -398,10 +398,10 @@
     return body.endswith(b"0\r\n\r\n")
 
 
-def ask_page(address: Address, path: str) -> bytes:
+def fetch_page(address: Address, path: str) -> bytes:
     """Return the response of an entry's page, with its head."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    sock.settimeout(READ_S)
+    sock.settimeout(READ_TIMEOUT_S)
     sock.connect((address.ip, address.port))
     sock.sendall(f"GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n".encode())
     data = b""
--- a/tests/direct/test_coordinator_selection.py
+++ b/tests/direct/test_coordinator_selection.py
@@ -12,7 +12,7 @@
 from dockreach.direct.digest import Address
 from dockreach.direct.peers import FRESH_S, PeerTable
 
-from .cores import OWN, address, digest, peers
+from .core_builders import OWN, address, digest, peers
 
 
 def three_peers(**fields: float) -> PeerTable:
--- a/tests/direct/test_crash_reporter.py
+++ b/tests/direct/test_crash_reporter.py
@@ -72,7 +72,7 @@
         eventlet.sleep(GOSSIP_S)
         # The platform's report, after some missed heartbeats.
         for name in fleet.crashed:
-            entry.lose_endpoint(name)
+            entry.remove_endpoint(name)
     assert len(fleet.crashed) == 2
 
 
@@ -134,7 +134,7 @@
 
     def busy(dialog: Dialog) -> None:
         eventlet.sleep(2.0)
-        dialog.answer(b"fine")
+        dialog.respond(b"fine")
 
     fleet = CrashingFleet(entries=1, engines=3)
     for _ in range(2):
@@ -143,7 +143,7 @@
     entry, callers = queue_at_full_engine(busy)
     entry.ctx.crashes.merge(fleet.entries[0].ctx.crashes.quarantine.next_reports())
     start = time.monotonic()
-    assert status_of(callers[-1].read_answer()) == 503
+    assert status_of(callers[-1].read_response()) == 503
     assert time.monotonic() - start < IMMEDIATE_S
 
 
@@ -159,7 +159,7 @@
     caller.send("/safe/a", body=CRASHING_BODY)
     eventlet.sleep(CRASH_DELAY_S / 4)
     fleet.entries[0].ctx.crashes.merge(reports)
-    assert status_of(caller.read_answer()) == 502
+    assert status_of(caller.read_response()) == 502
     assert len(fleet.crashed) == 1
 
 
--- a/tests/direct/test_crashing_requests.py
+++ b/tests/direct/test_crashing_requests.py
@@ -31,7 +31,7 @@
     queue_at_full_engine,
 )
 from .standins import (
-    READ_S,
+    READ_TIMEOUT_S,
     Caller,
     Dialog,
     EndpointStandIn,
@@ -96,7 +96,7 @@
     def busy(dialog: Dialog) -> None:
         ran.append(dialog.rid.decode())
         eventlet.sleep(0.3)
-        dialog.answer(b"fine")
+        dialog.respond(b"fine")
 
     fleet = CrashingFleet(entries=1, engines=3)
     for _ in range(2):
@@ -105,7 +105,7 @@
     entry, callers = queue_at_full_engine(busy)
     assert "r-3" not in ran
     entry.ctx.crashes.merge(fleet.entries[0].ctx.crashes.quarantine.next_reports())
-    assert status_of(callers[-1].read_answer()) == 503
+    assert status_of(callers[-1].read_response()) == 503
     assert "r-3" not in ran
 
 
@@ -122,7 +122,7 @@
     for number in range(4):
         caller = Caller(entry)
         caller.send("/draft/a", rid=f"r-{number}", body=b"sound")
-        assert status_of(caller.read_answer()) == 502
+        assert status_of(caller.read_response()) == 502
         eventlet.sleep(GOSSIP_S)
     assert len(entry.ctx.crashes.quarantine) == 0
 
@@ -132,8 +132,8 @@
     def leave(dialog: Dialog) -> None:
         # A request sent before the platform announced the shutdown is cut off in the end.
         if is_announced:
-            entry.take_endpoint(published("e-0", engine.address, leaving=True))
-        entry.lose_endpoint("e-0")
+            entry.apply_endpoint(published("e-0", engine.address, leaving=True))
+        entry.remove_endpoint("e-0")
         engine.close()
         dialog.reset()
 
@@ -173,7 +173,7 @@
 @pytest.mark.parametrize("is_back_at_once", [False, True])
 @pytest.mark.parametrize(
     ("crash_delay_s", "sudden_s", "max_crashes"),
-    [(CRASH_DELAY_S, SUDDEN_S, 2), (0.0, READ_S, 4)],
+    [(CRASH_DELAY_S, SUDDEN_S, 2), (0.0, READ_TIMEOUT_S, 4)],
 )
 def test_a_crash_is_detected_though_the_address_still_accepts_connections(
     is_back_at_once: bool,
@@ -196,7 +196,7 @@
 
     def serve(dialog: Dialog) -> None:
         if not dialog.request.endswith(CRASHING_BODY):
-            dialog.answer(b"fine")
+            dialog.respond(b"fine")
             return
         eventlet.sleep(crash_delay_s)
         name = f"e-{len(crashed)}"
@@ -208,16 +208,16 @@
         eventlet.spawn_after(0.1, replace_it, name)
 
     def replace_it(name: str) -> None:
-        entry.lose_endpoint(name)
+        entry.remove_endpoint(name)
         number = int(name[2:]) + 1
-        entry.take_endpoint(published(f"e-{number}", engines[number].address))
+        entry.apply_endpoint(published(f"e-{number}", engines[number].address))
 
     engines = [EndpointStandIn(serve) for _ in range(6)]
     entry = start_entry(engines[0])
     for number in range(5):
         caller = Caller(entry)
         caller.send("/once/a", rid=f"r-{number}", body=CRASHING_BODY)
-        caller.read_answer()
+        caller.read_response()
         eventlet.sleep(GOSSIP_S)
     assert crashed == [f"e-{number}" for number in range(max_crashes)]
 
--- a/tests/direct/test_dispatching.py
+++ b/tests/direct/test_dispatching.py
@@ -20,41 +20,41 @@
 )
 from dockreach.verdict import Reason, Verdict
 
-from .cores import dispatcher, endpoints, job, placed, stream_route
+from .core_builders import dispatcher, endpoints, job, placed, stream_route
 
 
 def test_a_higher_tier_goes_first_however_late_it_arrives() -> None:
     queue = dispatcher(endpoints(1))
-    queue.submit(job("low", tier=0, arrived=0.0))
-    queue.submit(job("other", tier=0, arrived=0.1))
-    queue.submit(job("top", tier=-1, arrived=0.2))
+    queue.submit(job("low", tier=0, arrived_at=0.0))
+    queue.submit(job("other", tier=0, arrived_at=0.1))
+    queue.submit(job("top", tier=-1, arrived_at=0.2))
     assert placed(queue.run_round(0.3)) == ["top"]
 
 
 def test_within_a_tier_the_earliest_goes_first() -> None:
     queue = dispatcher(endpoints(1))
-    queue.submit(job("second", arrived=0.2))
-    queue.submit(job("first", arrived=0.1))
+    queue.submit(job("second", arrived_at=0.2))
+    queue.submit(job("first", arrived_at=0.1))
     assert placed(queue.run_round(0.3)) == ["first"]
 
 
 def test_a_long_stream_goes_before_a_later_short_one() -> None:
     queue = dispatcher(endpoints(1))
-    queue.submit(job("short", arrived=0.01, events=1.0))
-    queue.submit(job("long", arrived=0.0, events=3000.0))
+    queue.submit(job("short", arrived_at=0.01, expected_events=1.0))
+    queue.submit(job("long", arrived_at=0.0, expected_events=3000.0))
     assert placed(queue.run_round(0.4)) == ["long"]
 
 
 def test_a_job_that_can_be_in_time_goes_before_a_late_one() -> None:
     queue = dispatcher(endpoints(1))
-    queue.submit(job("late", arrived=0.0))
-    queue.submit(job("hopeful", arrived=0.9))
+    queue.submit(job("late", arrived_at=0.0))
+    queue.submit(job("hopeful", arrived_at=0.9))
     assert placed(queue.run_round(1.0)) == ["hopeful"]
 
 
 def test_late_jobs_are_served_when_no_other_job_waits() -> None:
     queue = dispatcher(endpoints(1))
-    queue.submit(job("late", arrived=0.0))
+    queue.submit(job("late", arrived_at=0.0))
     assert placed(queue.run_round(2.0)) == ["late"]
 
 
@@ -62,7 +62,7 @@
     table = endpoints(1)
     table.set_in_flight_elsewhere({"e-0": 1})
     queue = dispatcher(table)
-    queue.submit(job("a", give_up=1.0))
+    queue.submit(job("a", queue_deadline=1.0))
     assert queue.run_round(0.0) == []
     assert queue.run_round(0.9) == []
     (decision,) = queue.run_round(1.0)
@@ -75,7 +75,7 @@
 
 def test_without_endpoints_the_reason_is_no_endpoint() -> None:
     queue = dispatcher(EndpointTable())
-    queue.submit(job("a", give_up=0.0))
+    queue.submit(job("a", queue_deadline=0.0))
     (decision,) = queue.run_round(0.1)
     assert isinstance(decision, Refused)
     assert decision.refusal.reason is Reason.NO_ENDPOINT
@@ -89,15 +89,15 @@
     """Return a dispatcher whose slots were all assigned a moment before 5 s."""
     queue = dispatcher(endpoints(slots))
     for number in range(slots):
-        queue.submit(job(f"first-{number}", tier=tier, arrived=4.9))
+        queue.submit(job(f"first-{number}", tier=tier, arrived_at=4.9))
     assert len(placed(queue.run_round(4.9))) == slots
     return queue
 
 
 def test_a_stream_that_cannot_be_in_time_is_rejected_early() -> None:
     queue = busy_dispatcher()
-    queue.submit(job("waits", arrived=5.0))
-    queue.submit(job("new", arrived=5.0))
+    queue.submit(job("waits", arrived_at=5.0))
+    queue.submit(job("new", arrived_at=5.0))
     (decision,) = refusals(queue.run_round(5.0))
     assert decision.job.rid == "new"
     assert decision.refusal.verdict is Verdict.NOT_RUN
@@ -107,7 +107,7 @@
 def test_only_jobs_with_a_chance_of_a_slot_in_time_are_admitted() -> None:
     queue = busy_dispatcher(10)
     for number in range(20):
-        queue.submit(job(f"j-{number}", arrived=5.0))
+        queue.submit(job(f"j-{number}", arrived_at=5.0))
     # Ten slots a second are an expected six within 0.6 s; nine come in one case of ten.
     assert len(refusals(queue.run_round(5.0))) == 11
     assert queue.waiting() == {"work": 9}
@@ -115,7 +115,7 @@
 
 def test_an_admitted_job_is_not_rejected_early() -> None:
     queue = busy_dispatcher(10)
-    queue.submit(job("waits", arrived=5.0, give_up=9.0))
+    queue.submit(job("waits", arrived_at=5.0, queue_deadline=9.0))
     assert queue.run_round(5.0) == []
     assert queue.run_round(6.5) == []
 
@@ -123,17 +123,17 @@
 def test_slots_that_higher_tiers_need_do_not_count() -> None:
     queue = busy_dispatcher(10)
     for number in range(8):
-        queue.submit(job(f"top-{number}", arrived=4.95))
-    queue.submit(job("low", tier=2, arrived=5.0))
+        queue.submit(job(f"top-{number}", arrived_at=4.95))
+    queue.submit(job("low", tier=2, arrived_at=5.0))
     assert [refusal.job.rid for refusal in refusals(queue.run_round(5.0))][-1] == "low"
 
 
 def test_no_lower_tier_waits_while_a_higher_one_is_rejected_early() -> None:
     queue = busy_dispatcher(10, tier=2)
-    queue.submit(job("low", tier=2, arrived=5.0))
+    queue.submit(job("low", tier=2, arrived_at=5.0))
     assert queue.run_round(5.0) == []
     for number in range(12):
-        queue.submit(job(f"top-{number}", arrived=5.1))
+        queue.submit(job(f"top-{number}", arrived_at=5.1))
     rejected = [refusal.job.rid for refusal in refusals(queue.run_round(5.1))]
     assert "low" in rejected
     assert len(rejected) > 1
@@ -142,7 +142,7 @@
 def test_the_retry_after_of_early_rejections_has_jitter_and_a_bound() -> None:
     queue = busy_dispatcher()
     for number in range(21):
-        queue.submit(job(f"j-{number}", arrived=5.0))
+        queue.submit(job(f"j-{number}", arrived_at=5.0))
     retry_after_s = [
         refusal.refusal.retry_after_s for refusal in refusals(queue.run_round(5.0))
     ]
@@ -151,23 +151,23 @@
     assert all(
         value_s is not None and min_s <= value_s <= max_s for value_s in retry_after_s
     )
-    queue.submit(job("short of time", arrived=5.0, ends=6.0))
+    queue.submit(job("short of time", arrived_at=5.0, deadline=6.0))
     (decision,) = refusals(queue.run_round(5.0))
     assert decision.refusal.retry_after_s == 1.0 * MAX_RETRY_AFTER_FRACTION
 
 
 def test_longer_lasting_pressure_gives_a_longer_retry_after() -> None:
     queue = dispatcher(endpoints(1, 1))
-    first = job("first", arrived=0.0)
+    first = job("first", arrived_at=0.0)
     queue.submit(first)
-    queue.submit(job("other", arrived=0.0))
+    queue.submit(job("other", arrived_at=0.0))
     queue.run_round(0.0)
-    queue.submit(job("waits", arrived=1.0, give_up=9.0))
+    queue.submit(job("waits", arrived_at=1.0, queue_deadline=9.0))
     queue.run_round(1.0)
     queue.release(first)
     queue.run_round(2.0)
-    queue.submit(job("waits too", arrived=5.0))
-    queue.submit(job("new", arrived=5.0, ends=35.0))
+    queue.submit(job("waits too", arrived_at=5.0))
+    queue.submit(job("new", arrived_at=5.0, deadline=35.0))
     (decision,) = refusals(queue.run_round(5.0))
     assert decision.job.rid == "new"
     assert decision.refusal.retry_after_s is not None
@@ -176,33 +176,33 @@
 
 def test_a_retry_is_not_rejected_early() -> None:
     queue = busy_dispatcher()
-    queue.submit(job("came back", arrived=5.0, tried_at=3.0))
+    queue.submit(job("came back", arrived_at=5.0, estimated_first_attempt_at=3.0))
     assert queue.run_round(5.0) == []
 
 
 def test_a_request_that_lost_its_endpoint_is_not_rejected_early() -> None:
     queue = busy_dispatcher()
-    queue.submit(job("waits", arrived=5.0))
-    cut = job("cut", arrived=3.0, give_up=7.0)
+    queue.submit(job("waits", arrived_at=5.0))
+    cut = job("cut", arrived_at=3.0, queue_deadline=7.0)
     cut.tried_endpoints.add("e-9")
     queue.submit(cut)
     for number in range(3):
-        queue.submit(job(f"new-{number}", tier=-1, arrived=5.0))
+        queue.submit(job(f"new-{number}", tier=-1, arrived_at=5.0))
     assert "cut" not in [refusal.job.rid for refusal in refusals(queue.run_round(5.0))]
     assert [refusal.job.rid for refusal in refusals(queue.run_round(7.0))][-1] == "cut"
 
 
 def test_a_job_that_can_be_in_time_goes_before_a_late_retry() -> None:
     queue = dispatcher(endpoints(1))
-    queue.submit(job("back", arrived=4.0, tried_at=1.0))
-    queue.submit(job("new", arrived=4.2))
+    queue.submit(job("back", arrived_at=4.0, estimated_first_attempt_at=1.0))
+    queue.submit(job("new", arrived_at=4.2))
     assert placed(queue.run_round(4.3)) == ["new"]
 
 
 def test_retries_are_ordered_by_their_first_attempts() -> None:
     queue = dispatcher(endpoints(1))
-    queue.submit(job("later", arrived=4.0, tried_at=2.0))
-    queue.submit(job("first", arrived=4.2, tried_at=1.0))
+    queue.submit(job("later", arrived_at=4.0, estimated_first_attempt_at=2.0))
+    queue.submit(job("first", arrived_at=4.2, estimated_first_attempt_at=1.0))
     assert placed(queue.run_round(4.3)) == ["first"]
 
 
@@ -228,7 +228,9 @@
         now = 0.1 * number
         if ends and running:
             queue.release(running.pop(0))
-        queue.submit(job(f"j-{number}", tier=tier, arrived=now, give_up=now + 1.0))
+        queue.submit(
+            job(f"j-{number}", tier=tier, arrived_at=now, queue_deadline=now + 1.0)
+        )
         for decision in queue.run_round(now):
             decided += 1
             if isinstance(decision, Placed):
--- a/tests/direct/test_ended_incarnations.py
+++ b/tests/direct/test_ended_incarnations.py
@@ -29,13 +29,13 @@
 
 
 def never_respond(dialog: Dialog) -> None:
-    dialog.wait_until_left()
+    dialog.wait_until_closed()
 
 
 def stall_after_first_event(dialog: Dialog) -> None:
     dialog.start_stream()
     dialog.chunk(event(1))
-    dialog.wait_until_left()
+    dialog.wait_until_closed()
 
 
 def respond_unframed(dialog: Dialog) -> None:
@@ -43,7 +43,7 @@
         b"HTTP/1.1 200 OK\r\nRequest-Id: " + dialog.rid + b"\r\nSeal: s\r\n"
         b"Content-Type: text/event-stream\r\n\r\n" + event(1)
     )
-    dialog.wait_until_left()
+    dialog.wait_until_closed()
 
 
 def send_remaining_events(dialog: Dialog) -> None:
@@ -61,7 +61,7 @@
 def entry_with_endpoints(*endpoints: EndpointStandIn) -> Entry:
     entry = start_entry()
     records = [published_at(row, 1000, f"e-{index}") for index, row in enumerate(endpoints)]
-    entry.take_all(records, 2)
+    entry.replace_endpoints(records, 2)
     return entry
 
 
@@ -78,9 +78,9 @@
     endpoint = EndpointStandIn(script)  # type: ignore[arg-type]
     entry = entry_with_endpoints(endpoint)
     caller = send_request(entry, "/draft/a")
-    entry.take_endpoint(published_at(endpoint, 2000))
+    entry.apply_endpoint(published_at(endpoint, 2000))
     with eventlet.Timeout(0.5):
-        response = caller.read_answer()
+        response = caller.read_response()
     assert script is stall_after_first_event or status_of(response) == 502
     assert script is never_respond or not response.endswith(b"0\r\n\r\n")
     assert len(endpoint.requests) == 1
@@ -93,9 +93,9 @@
     )
     entry = entry_with_endpoints(first)
     caller = send_request(entry, "/brief/a")
-    entry.take_endpoint(published_at(second, 1000, "e-1"))
-    entry.take_endpoint(published_at(first, 2000))
-    response = caller.read_answer()
+    entry.apply_endpoint(published_at(second, 1000, "e-1"))
+    entry.apply_endpoint(published_at(first, 2000))
+    response = caller.read_response()
     assert body_of(response) == event(1) + event(2)
     assert len(first.requests) == 1
 
@@ -104,18 +104,18 @@
     endpoint = EndpointStandIn(respond_unframed)
     entry = entry_with_endpoints(endpoint)
     caller = send_request(entry, "/draft/a")
-    entry.take_endpoint(published_at(endpoint, 2000))
-    assert not caller.read_answer().endswith(b"0\r\n\r\n")
+    entry.apply_endpoint(published_at(endpoint, 2000))
+    assert not caller.read_response().endswith(b"0\r\n\r\n")
 
 
 def test_a_request_at_a_removed_incarnation_fails_when_the_next_one_starts() -> None:
     endpoint = EndpointStandIn(never_respond)
     entry = entry_with_endpoints(endpoint)
     caller = send_request(entry, "/once/a")
-    entry.lose_endpoint("e-0")
-    entry.take_endpoint(published_at(endpoint, 2000))
+    entry.remove_endpoint("e-0")
+    entry.apply_endpoint(published_at(endpoint, 2000))
     with eventlet.Timeout(0.5):
-        assert status_of(caller.read_answer()) == 502
+        assert status_of(caller.read_response()) == 502
     assert len(endpoint.requests) == 1
 
 
@@ -123,7 +123,7 @@
     endpoint = EndpointStandIn(never_respond)
     entry = entry_with_endpoints(endpoint)
     caller = send_request(entry, "/draft/a")
-    entry.take_endpoint(published_at(endpoint, 500))
+    entry.apply_endpoint(published_at(endpoint, 500))
     eventlet.sleep(0.1)
     row = entry.endpoints.get("e-0")
     assert row is not None
@@ -157,11 +157,11 @@
         EndpointStandIn(send_remaining_events),
     )
     regions = {"hall1": "north", "hall2": "south"}
-    settings = replace(entry_settings(), regions=regions)
-    entry = start_entry(in_force=drafts_bound_to("south"), settings=settings)
+    settings = replace(entry_settings(), region_of_hall=regions)
+    entry = start_entry(config=drafts_bound_to("south"), settings=settings)
     far_endpoint = replace(published("e-1", far.address), hall="hall2")
-    entry.take_all([published("e-0", near.address), far_endpoint], 2)
-    assert status_of(send_request(entry, "/draft/a").read_answer()) == 200
+    entry.replace_endpoints([published("e-0", near.address), far_endpoint], 2)
+    assert status_of(send_request(entry, "/draft/a").read_response()) == 200
     assert (len(near.requests), len(far.requests)) == (0, 1)
 
 
@@ -171,11 +171,11 @@
     caplog.set_level("INFO", logger="dockreach")
     endpoint = EndpointStandIn(send_remaining_events)
     regions = {"hall1": "north", "hall2": "south"}
-    settings = replace(entry_settings(), regions=regions)
+    settings = replace(entry_settings(), region_of_hall=regions)
     content = drafts_bound_to("south", organisation_region="north")
-    entry = start_entry(endpoint, in_force=content, settings=settings)
+    entry = start_entry(endpoint, config=content, settings=settings)
     with eventlet.Timeout(0.5):
-        assert status_of(send_request(entry, "/draft/a").read_answer()) == 503
+        assert status_of(send_request(entry, "/draft/a").read_response()) == 503
     assert endpoint.requests == []
     refused = [vars(row) for row in caplog.records if vars(row)["event"] == 701]
     assert [row["reason"] for row in refused] == ["no_region"]
--- a/tests/direct/test_endpoint_selection.py
+++ b/tests/direct/test_endpoint_selection.py
@@ -9,7 +9,7 @@
 )
 from dockreach.direct.endpoints import MAX_PREFIXES, EndpointTable, Published
 
-from .cores import dispatcher, endpoints, job, placed
+from .core_builders import dispatcher, endpoints, job, placed
 
 
 def selector(
@@ -24,7 +24,7 @@
     for number in range(6):
         queue.submit(job(f"low-{number}", tier=2))
     assert len(placed(queue.run_round(0.1))) == 4
-    queue.submit(job("top-2", tier=0, arrived=0.2))
+    queue.submit(job("top-2", tier=0, arrived_at=0.2))
     assert placed(queue.run_round(0.2)) == ["top-2"]
 
 
@@ -84,8 +84,8 @@
     queue = dispatcher(table)
     (row,) = table
     row.record_failure(0.0)
-    queue.submit(job("first", arrived=2.0))
-    queue.submit(job("second", arrived=2.0))
+    queue.submit(job("first", arrived_at=2.0))
+    queue.submit(job("second", arrived_at=2.0))
     assert placed(queue.run_round(2.0)) == ["first"]
     row.record_success(2.1)
     assert placed(queue.run_round(2.1)) == ["second"]
@@ -123,9 +123,9 @@
     assert fast is not None
     fast.in_flight_here = 1
     queue = dispatcher(table)
-    queue.submit(job("long", events=300.0, ends=8.0))
+    queue.submit(job("long", expected_events=300.0, deadline=8.0))
     assert queue.run_round(0.1) == []
-    queue.submit(job("short", events=30.0, ends=8.0))
+    queue.submit(job("short", expected_events=30.0, deadline=8.0))
     assert placed(queue.run_round(0.1)) == ["short"]
     fast.in_flight_here = 0
     assert placed(queue.run_round(0.2)) == ["long"]
@@ -133,7 +133,7 @@
 
 def test_a_stream_that_no_endpoint_can_end_in_time_is_still_sent() -> None:
     queue = dispatcher(endpoints(1))
-    queue.submit(job("endless", events=1e6))
+    queue.submit(job("endless", expected_events=1e6))
     assert placed(queue.run_round(0.1)) == ["endless"]
 
 
@@ -155,7 +155,7 @@
 def test_an_endpoint_gets_one_extra_request_and_no_more() -> None:
     queue = dispatcher(endpoints(2), extra=EXTRA_REQUESTS)
     for number in range(5):
-        queue.submit(job(f"j-{number}", arrived=0.0))
+        queue.submit(job(f"j-{number}", arrived_at=0.0))
     assert len(placed(queue.run_round(0.0))) == 2 + EXTRA_REQUESTS
 
 
@@ -201,7 +201,7 @@
 def test_short_prompts_avoid_a_full_fast_engine() -> None:
     table = fast_and_slow_engine(factor=2.0)
     fast, _ = table
-    blurb = job("blurb", prompt_tokens=600, events=50.0)
+    blurb = job("blurb", prompt_tokens=600, expected_events=50.0)
     first = selector(table).select(blurb, 0.0)
     fast.in_flight_here = 9
     second = selector(table).select(blurb, 0.0)
--- a/tests/direct/test_entry.py
+++ b/tests/direct/test_entry.py
@@ -11,15 +11,15 @@
 from dockreach.direct.endpoint_sync import LAPSE_GRACE_S
 from dockreach.direct.entry import Entry
 from dockreach.direct.routing_config import Organisation
-from dockreach_platform.declared import read_revision
-from dockreach_platform.headers import PlatformDialect
+from dockreach_platform.headers import PlatformAdapter
+from dockreach_platform.records import read_revision
 
 from .standins import (
     Caller,
     Dialog,
     EndpointStandIn,
-    ask_page,
     entry_settings,
+    fetch_page,
     header_of,
     published,
     revision,
@@ -28,92 +28,92 @@
 )
 
 
-def ok(dialog: Dialog) -> None:
-    dialog.answer(b"fine")
+def respond_ok(dialog: Dialog) -> None:
+    dialog.respond(b"fine")
 
 
-def slow(dialog: Dialog) -> None:
+def respond_slowly(dialog: Dialog) -> None:
     eventlet.sleep(0.6)
-    dialog.answer(b"fine")
+    dialog.respond(b"fine")
 
 
 def test_an_entry_without_configuration_is_not_ready_and_refuses_requests() -> None:
-    entry = Entry(entry_settings(), PlatformDialect())
+    entry = Entry(entry_settings(), PlatformAdapter())
     entry.start()
-    assert status_of(ask_page(entry.settings.health, "/ready")) == 503
+    assert status_of(fetch_page(entry.settings.health, "/ready")) == 503
     caller = Caller(entry)
     caller.send("/once/a")
-    assert status_of(caller.read_answer()) == 503
+    assert status_of(caller.read_response()) == 503
 
 
 def test_a_ready_entry_reports_health_and_serves_metrics() -> None:
-    entry = start_entry(EndpointStandIn(ok))
+    entry = start_entry(EndpointStandIn(respond_ok))
     caller = Caller(entry)
     caller.send("/once/a")
-    caller.read_answer()
-    assert status_of(ask_page(entry.settings.health, "/ready")) == 200
+    caller.read_response()
+    assert status_of(fetch_page(entry.settings.health, "/ready")) == 200
     assert entry.settings.metrics is not None
-    page = ask_page(entry.settings.metrics, "/metrics")
+    page = fetch_page(entry.settings.metrics, "/metrics")
     assert b"dockreach_direct_requests_total" in page
     assert b"dockreach_direct_answer_seconds_bucket" in page
 
 
 def test_the_health_address_does_not_serve_the_view() -> None:
-    entry = start_entry(EndpointStandIn(ok))
-    assert b"assessors" not in ask_page(entry.settings.health, "/v1/view")
-    assert status_of(ask_page(entry.settings.gossip, "/v1/view")) == 200
-    assert status_of(ask_page(entry.settings.gossip, "/other")) == 404
+    entry = start_entry(EndpointStandIn(respond_ok))
+    assert b"assessors" not in fetch_page(entry.settings.health, "/v1/view")
+    assert status_of(fetch_page(entry.settings.gossip, "/v1/view")) == 200
+    assert status_of(fetch_page(entry.settings.gossip, "/other")) == 404
 
 
 def test_a_stop_finishes_requests_in_flight_and_closes_idle_connections() -> None:
-    entry = start_entry(EndpointStandIn(slow))
+    entry = start_entry(EndpointStandIn(respond_slowly))
     idle, busy = Caller(entry), Caller(entry)
     busy.send("/once/a")
     eventlet.sleep(0.05)
     stopping = eventlet.spawn(entry.stop)
     eventlet.sleep(0.05)
-    assert status_of(ask_page(entry.settings.health, "/ready")) == 503
-    response = busy.read_answer()
+    assert status_of(fetch_page(entry.settings.health, "/ready")) == 503
+    response = busy.read_response()
     assert status_of(response) == 200
     assert header_of(response, b"connection") == b"close"
     stopping.wait()
-    assert idle.read_some() == b""
+    assert idle.read_available() == b""
 
 
 def test_a_request_long_after_the_stop_began_is_refused_and_not_run() -> None:
-    endpoint = EndpointStandIn(ok)
+    endpoint = EndpointStandIn(respond_ok)
     entry = start_entry(endpoint, settings=entry_settings(grace_s=20.0))
     entry.stopping_since = eventlet.hubs.get_hub().clock() - 5.0
     caller = Caller(entry)
     caller.send("/once/a")
-    response = caller.read_answer()
+    response = caller.read_response()
     assert status_of(response) == 503
     assert header_of(response, b"connection") == b"close"
     assert endpoint.requests == []
 
 
 def test_an_older_configuration_is_not_applied() -> None:
-    entry = start_entry(EndpointStandIn(ok), in_force=revision(7))
-    assert not entry.take_revision(revision(6), "store")
+    entry = start_entry(EndpointStandIn(respond_ok), config=revision(7))
+    assert not entry.apply_revision(revision(6), "store")
     assert entry.revision is not None
     assert entry.revision.number == 7
 
 
 def test_a_leaving_endpoint_gets_no_more_requests() -> None:
-    leaving, staying = EndpointStandIn(ok), EndpointStandIn(ok)
+    leaving, staying = EndpointStandIn(respond_ok), EndpointStandIn(respond_ok)
     entry = start_entry(leaving, staying)
-    entry.take_endpoint(published("e-0", leaving.address, leaving=True))
+    entry.apply_endpoint(published("e-0", leaving.address, leaving=True))
     for number in range(4):
         caller = Caller(entry)
         caller.send("/once/a", rid=f"r-{number}")
-        assert status_of(caller.read_answer()) == 200
+        assert status_of(caller.read_response()) == 200
     assert (len(leaving.requests), len(staying.requests)) == (0, 4)
 
 
 def test_an_endpoint_that_lapsed_in_an_outage_is_kept_for_a_grace_period() -> None:
-    endpoint = EndpointStandIn(ok)
+    endpoint = EndpointStandIn(respond_ok)
     entry = start_entry(endpoint)
-    entry.lose_endpoint("e-0", after_outage=True)
+    entry.remove_endpoint("e-0", after_outage=True)
     assert entry.endpoints.get("e-0") is not None
     eventlet.sleep(LAPSE_GRACE_S + 0.3)
     assert entry.endpoints.get("e-0") is None
@@ -121,9 +121,9 @@
 
 @pytest.mark.parametrize("after_outage", [False, True])
 def test_a_leaving_endpoint_is_removed_without_a_grace_period(after_outage: bool) -> None:
-    entry = start_entry(EndpointStandIn(ok))
-    entry.take_endpoint(published("e-0", "127.0.0.1:9", leaving=True))
-    entry.lose_endpoint("e-0", after_outage=after_outage)
+    entry = start_entry(EndpointStandIn(respond_ok))
+    entry.apply_endpoint(published("e-0", "127.0.0.1:9", leaving=True))
+    entry.remove_endpoint("e-0", after_outage=after_outage)
     assert entry.endpoints.get("e-0") is None
 
 
@@ -146,10 +146,10 @@
 
 
 def test_an_entry_that_cannot_read_the_platform_applies_a_peers_view() -> None:
-    endpoint = EndpointStandIn(ok)
-    reader = start_entry(endpoint, in_force=read_revision(CONFIG))
+    endpoint = EndpointStandIn(respond_ok)
+    reader = start_entry(endpoint, config=read_revision(CONFIG))
     settings = replace(entry_settings(), seeds=(reader.settings.gossip,))
-    cut_off = Entry(settings, PlatformDialect())
+    cut_off = Entry(settings, PlatformAdapter())
     cut_off.start()
     for _ in range(40):
         eventlet.sleep(0.05)
@@ -160,13 +160,13 @@
     assert cut_off.revision.number == 9
     caller = Caller(cut_off)
     caller.send("/once/a")
-    assert status_of(caller.read_answer()) == 200
+    assert status_of(caller.read_response()) == 200
 
 
 def test_entries_count_each_others_requests_in_flight() -> None:
     def endless(dialog: Dialog) -> None:
         dialog.start_stream()
-        dialog.wait_until_left()
+        dialog.wait_until_closed()
 
     endpoint = EndpointStandIn(endless)
     first = start_entry(endpoint)
@@ -184,20 +184,20 @@
 
 
 def test_a_request_over_the_quota_is_refused_and_not_run() -> None:
-    endpoint = EndpointStandIn(ok)
+    endpoint = EndpointStandIn(respond_ok)
     limited = Organisation("poor", frozenset({"key-1"}), None, 1.0, 1.0, 10**6)
-    entry = start_entry(endpoint, in_force=revision(organisations=(limited,)))
+    entry = start_entry(endpoint, config=revision(organisations=(limited,)))
     first, second = Caller(entry), Caller(entry)
     first.send("/once/a", rid="r-1")
-    assert status_of(first.read_answer()) == 429
+    assert status_of(first.read_response()) == 429
     second.send("/once/a", rid="r-2", extra="Token-Counts: 1,0\r\n")
-    assert status_of(second.read_answer()) == 200
+    assert status_of(second.read_response()) == 200
     assert len(endpoint.requests) == 1
 
 
 def test_a_caller_that_disconnects_is_logged(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level("INFO", logger="dockreach")
-    entry = start_entry(EndpointStandIn(slow))
+    entry = start_entry(EndpointStandIn(respond_slowly))
     caller = Caller(entry)
     caller.send("/once/a", rid="r-left")
     eventlet.sleep(0.1)
@@ -212,7 +212,7 @@
     capfd: pytest.CaptureFixture[str],
 ) -> None:
     """Without a handler, eventlet prints each error that ends a greenlet."""
-    entry = start_entry(EndpointStandIn(slow))
+    entry = start_entry(EndpointStandIn(respond_slowly))
     caller = Caller(entry)
     caller.send("/once/a")
     eventlet.sleep(0.1)
--- a/tests/direct/test_entry_pages.py
+++ b/tests/direct/test_entry_pages.py
@@ -8,29 +8,29 @@
 
 from .advertising_engines import AdvertisingFleet
 from .crashing_engines import CRASHING_BODY, GOSSIP_S, CrashingFleet
-from .standins import ask_page, start_entry
+from .standins import fetch_page, start_entry
 
 
 def series(entry: Entry, name: str) -> list[bytes]:
     """Return the lines of one metric of the direct path from an entry's metrics page."""
     assert entry.settings.metrics is not None
-    page = ask_page(entry.settings.metrics, "/metrics")
+    page = fetch_page(entry.settings.metrics, "/metrics")
     assert CRASHING_BODY not in page
     prefix = f"dockreach_direct_{name}{{".encode()
     return [line for line in page.splitlines() if line.startswith(prefix)]
 
 
-def barred_on(entry: Entry) -> list[bytes]:
+def quarantined_on(entry: Entry) -> list[bytes]:
     """Return the time series of quarantined requests."""
     return series(entry, "request_barred_seconds")
 
 
 def test_an_evacuated_hall_is_shown_until_its_evacuation_ends() -> None:
     entry = start_entry()
-    entry.take_emptied(frozenset({"hall2"}), 1)
+    entry.apply_evacuations(frozenset({"hall2"}), 1)
     (row,) = series(entry, "hall_emptied_seconds")
     assert b'hall="hall2"' in row
-    entry.take_emptied(frozenset(), 2)
+    entry.apply_evacuations(frozenset(), 2)
     assert series(entry, "hall_emptied_seconds") == []
 
 
@@ -38,24 +38,24 @@
     fleet = CrashingFleet(entries=2, engines=3)
     first, second = fleet.entries
     for _ in range(2):
-        assert barred_on(first) == []
+        assert quarantined_on(first) == []
         fleet.request(first, CRASHING_BODY)
         eventlet.sleep(GOSSIP_S)
-    (row,) = barred_on(first)
+    (row,) = quarantined_on(first)
     assert b'path="/once/a"' in row
     assert b'organisation="assessors"' in row
     # The other entry has the crash report, but no source until the request arrives there.
-    (row,) = barred_on(second)
+    (row,) = quarantined_on(second)
     assert b'path=""' in row
     fleet.request(second, CRASHING_BODY)
-    (row,) = barred_on(second)
+    (row,) = quarantined_on(second)
     assert b'path="/once/a"' in row
     for entry in fleet.entries:
         (fingerprint,) = entry.ctx.crashes.quarantine.quarantined()
         assert fingerprint.hex().encode() in row
     second.ctx.crashes.record_completion(fingerprint)
     eventlet.sleep(GOSSIP_S)
-    assert barred_on(first) == barred_on(second) == []
+    assert quarantined_on(first) == quarantined_on(second) == []
 
 
 def test_advertised_state_and_blocked_endpoints_are_shown() -> None:
--- a/tests/direct/test_evacuated_halls.py
+++ b/tests/direct/test_evacuated_halls.py
@@ -7,7 +7,7 @@
 
 from dockreach.direct.evacuated_halls import EvacuatedHalls
 
-from .cores import endpoints
+from .core_builders import endpoints
 
 HALL = frozenset({"hall1"})
 NONE: frozenset[str] = frozenset()
--- a/tests/direct/test_event_stream.py
+++ b/tests/direct/test_event_stream.py
@@ -18,7 +18,7 @@
     events = [event for piece in pieces for event in splitter.feed(piece)]
     assert [event.id for event in events] == ["1", "2", "4"]
     assert b"".join(event.data for event in events) == data
-    assert splitter.rest == b""
+    assert splitter.remainder == b""
 
 
 @pytest.mark.parametrize("end", [b"\n\n", b"\r\n\r\n", b"\r\r"])
@@ -31,4 +31,4 @@
 def test_a_partial_event_stays_buffered() -> None:
     splitter = EventSplitter()
     assert splitter.feed(b"id: 1\nda") == []
-    assert splitter.rest == b"id: 1\nda"
+    assert splitter.remainder == b"id: 1\nda"
--- a/tests/direct/test_fingerprint.py
+++ b/tests/direct/test_fingerprint.py
@@ -19,17 +19,17 @@
     key="key-1",
     deadline_s=1.0,
     prompt_tokens=10,
-    most_tokens=10,
-    hint_tokens=0,
+    max_output_tokens=10,
+    expected_output_tokens=0,
     has_token_counts=True,
     prefix=(),
     last_event_id="",
-    arrived=1.0,
+    arrived_at=1.0,
 )
 
 
 def test_id_deadline_and_arrival_time_do_not_change_the_fingerprint() -> None:
-    again = replace(REQUEST, rid="r-2", deadline_s=0.5, arrived=9.0)
+    again = replace(REQUEST, rid="r-2", deadline_s=0.5, arrived_at=9.0)
     assert fingerprint_of(again, "org") == fingerprint_of(REQUEST, "org")
 
 
--- a/tests/direct/test_forward.py
+++ b/tests/direct/test_forwarder.py
@@ -17,26 +17,26 @@
 )
 
 
-def ok(dialog: Dialog) -> None:
-    dialog.answer(b"fine")
+def respond_ok(dialog: Dialog) -> None:
+    dialog.respond(b"fine")
 
 
 def event(number: int) -> bytes:
     return f"id: {number}\ndata: piece {number}\n\n".encode()
 
 
-def stream(*numbers: int) -> bytes:
+def events(*numbers: int) -> bytes:
     return b"".join(event(number) for number in numbers)
 
 
-def full_stream(dialog: Dialog) -> None:
+def send_full_stream(dialog: Dialog) -> None:
     dialog.start_stream()
     for number in (1, 2, 3):
         dialog.chunk(event(number))
     dialog.chunk(b"")
 
 
-def cut_stream(dialog: Dialog) -> None:
+def send_truncated_stream(dialog: Dialog) -> None:
     """Send two events and a part of the third, then reset the connection."""
     dialog.start_stream()
     dialog.chunk(event(1))
@@ -46,10 +46,10 @@
 
 
 def test_method_path_query_body_and_repeated_headers_arrive_unchanged() -> None:
-    endpoint = EndpointStandIn(ok)
+    endpoint = EndpointStandIn(respond_ok)
     caller = Caller(start_entry(endpoint))
     caller.send("/once/a%2Fb?x=1&&y", body=b"\x00\xffbody", extra="X-A: 1\r\nX-A: 2\r\n")
-    response = caller.read_answer()
+    response = caller.read_response()
     assert (status_of(response), body_of(response)) == (200, b"fine")
     assert header_of(response, b"seal") == b"s"
     request = endpoint.requests[0]
@@ -60,7 +60,7 @@
 
 
 def test_a_chunked_body_arrives_complete() -> None:
-    endpoint = EndpointStandIn(ok)
+    endpoint = EndpointStandIn(respond_ok)
     caller = Caller(start_entry(endpoint))
     head = (
         b"POST /once/c HTTP/1.1\r\nHost: tools.example\r\nRequest-Id: r-2\r\n"
@@ -69,19 +69,19 @@
     caller.sock.sendall(head + b"3\r\nabc\r\n")
     eventlet.sleep(0.02)
     caller.sock.sendall(b"2\r\nde\r\n0\r\n\r\n")
-    assert status_of(caller.read_answer()) == 200
+    assert status_of(caller.read_response()) == 200
     assert endpoint.requests[0].endswith(b"\r\n\r\nabcde")
 
 
 def test_headers_that_callers_must_not_set_are_replaced_or_dropped() -> None:
-    endpoint = EndpointStandIn(ok)
+    endpoint = EndpointStandIn(respond_ok)
     caller = Caller(start_entry(endpoint))
     forged = (
         "Tenant-Id: other\r\nExpected-Instance: i-x\r\nKv-Hold: h\r\nPin-Ms: 9\r\n"
         "Kv-Backup: 1.2.3.4:5\r\nKv-From: a/b\r\nConnection: X-Hop\r\nX-Hop: 1\r\n"
     )
     caller.send("/once/a", extra=forged)
-    caller.read_answer()
+    caller.read_response()
     request = endpoint.requests[0]
     assert headers_of(request, b"tenant-id") == [b"assessors"]
     assert headers_of(request, b"expected-instance") == [b"e-0"]
@@ -91,10 +91,10 @@
 
 
 def test_a_request_with_both_content_length_and_chunks_is_refused() -> None:
-    endpoint = EndpointStandIn(ok)
+    endpoint = EndpointStandIn(respond_ok)
     caller = Caller(start_entry(endpoint))
     caller.send("/once/a", body=b"0\r\n\r\n", extra="Transfer-Encoding: chunked\r\n")
-    assert status_of(caller.read_answer()) == 400
+    assert status_of(caller.read_response()) == 400
     assert endpoint.requests == []
 
 
@@ -103,33 +103,33 @@
     [("/nowhere/a", "key-1", 404), ("/once/a", "no-key", 401)],
 )
 def test_unknown_routes_and_keys_are_refused(path: str, key: str, status: int) -> None:
-    endpoint = EndpointStandIn(ok)
+    endpoint = EndpointStandIn(respond_ok)
     caller = Caller(start_entry(endpoint))
     caller.send(path, key=key)
-    assert status_of(caller.read_answer()) == status
+    assert status_of(caller.read_response()) == status
     assert endpoint.requests == []
 
 
 def test_connections_are_reused_on_both_sides() -> None:
-    endpoint = EndpointStandIn(ok)
+    endpoint = EndpointStandIn(respond_ok)
     caller = Caller(start_entry(endpoint))
     for number in range(3):
         caller.send("/once/a", rid=f"r-{number}")
-        assert status_of(caller.read_answer()) == 200
+        assert status_of(caller.read_response()) == 200
     assert len(endpoint.requests) == 3
     assert len(endpoint.dialogs) == 1
 
 
 def test_extra_bytes_after_a_response_close_the_connection_to_the_endpoint() -> None:
     def respond_with_extra_bytes(dialog: Dialog) -> None:
-        dialog.answer(b"fine")
+        dialog.respond(b"fine")
         dialog.send(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx")
 
-    endpoint = EndpointStandIn(respond_with_extra_bytes, ok)
+    endpoint = EndpointStandIn(respond_with_extra_bytes, respond_ok)
     caller = Caller(start_entry(endpoint))
     for number in range(2):
         caller.send("/once/a", rid=f"r-{number}")
-        assert body_of(caller.read_answer()) == b"fine"
+        assert body_of(caller.read_response()) == b"fine"
         eventlet.sleep(0.05)
     assert len(endpoint.dialogs) == 2
 
@@ -139,12 +139,12 @@
         dialog.send(
             b"HTTP/1.1 200 OK\r\nRequest-Id: r-old\r\nContent-Length: 5\r\n\r\nwrong"
         )
-        dialog.answer(b"right")
+        dialog.respond(b"right")
 
     endpoint = EndpointStandIn(late_then_own)
     caller = Caller(start_entry(endpoint))
     caller.send("/once/a", rid="r-new")
-    assert body_of(caller.read_answer()) == b"right"
+    assert body_of(caller.read_response()) == b"right"
 
 
 def test_a_response_without_length_that_is_reset_is_not_complete() -> None:
@@ -155,7 +155,7 @@
 
     caller = Caller(start_entry(EndpointStandIn(unframed_reset)))
     caller.send("/once/a")
-    assert status_of(caller.read_answer()) == 502
+    assert status_of(caller.read_response()) == 502
 
 
 def test_a_response_without_length_that_ends_in_order_is_complete() -> None:
@@ -165,14 +165,14 @@
 
     caller = Caller(start_entry(EndpointStandIn(unframed)))
     caller.send("/once/a")
-    assert body_of(caller.read_answer()) == b"whole"
+    assert body_of(caller.read_response()) == b"whole"
 
 
 def test_a_request_that_may_have_run_is_neither_retried_nor_reported_as_not_run() -> None:
     first, second = EndpointStandIn(Dialog.reset), EndpointStandIn(Dialog.reset)
     caller = Caller(start_entry(first, second))
     caller.send("/once/a")
-    response = caller.read_answer()
+    response = caller.read_response()
     assert status_of(response) == 502
     assert header_of(response, b"retry-after") is None
     assert len(first.requests) + len(second.requests) == 1
@@ -186,22 +186,22 @@
         if len(request_ids) == 1:
             dialog.reset()
         else:
-            dialog.answer(b"second")
+            dialog.respond(b"second")
 
     caller = Caller(start_entry(EndpointStandIn(reset_first), EndpointStandIn(reset_first)))
     caller.send("/safe/a", method="GET")
-    assert body_of(caller.read_answer()) == b"second"
+    assert body_of(caller.read_response()) == b"second"
     assert request_ids == [b"r-1", b"r-1"]
 
 
 def test_the_last_endpoints_error_response_is_passed_on_unchanged() -> None:
     def fails(dialog: Dialog) -> None:
-        dialog.answer(b"broken", status=b"500 Oops")
+        dialog.respond(b"broken", status=b"500 Oops")
 
     endpoints = EndpointStandIn(fails), EndpointStandIn(fails)
     caller = Caller(start_entry(*endpoints))
     caller.send("/safe/a", method="GET")
-    response = caller.read_answer()
+    response = caller.read_response()
     assert (status_of(response), body_of(response)) == (500, b"broken")
     assert header_of(response, b"seal") == b"s"
     assert sum(len(row.requests) for row in endpoints) == 2
@@ -209,24 +209,24 @@
 
 def test_an_endpoints_refusal_becomes_a_not_run_response_with_a_retry_time() -> None:
     def full(dialog: Dialog) -> None:
-        dialog.answer(b"", status=b"503 Full", extra=b"Not-Executed: 1\r\n")
+        dialog.respond(b"", status=b"503 Full", extra=b"Not-Executed: 1\r\n")
 
     caller = Caller(start_entry(EndpointStandIn(full)))
     caller.send("/once/a")
-    response = caller.read_answer()
+    response = caller.read_response()
     assert status_of(response) == 503
     assert float(header_of(response, b"retry-after") or 0) > 0
     assert header_of(response, b"seal") is None
 
 
 def test_an_unreachable_endpoint_costs_no_attempt() -> None:
-    dead, live = EndpointStandIn(ok), EndpointStandIn(ok)
+    dead, live = EndpointStandIn(respond_ok), EndpointStandIn(respond_ok)
     dead.close()
     entry = start_entry(dead, live)
     for number in range(4):
         caller = Caller(entry)
         caller.send("/once/a", rid=f"r-{number}")
-        assert status_of(caller.read_answer()) == 200
+        assert status_of(caller.read_response()) == 200
 
 
 def test_a_misdirected_request_costs_no_attempt() -> None:
@@ -238,36 +238,36 @@
     """
 
     def misdirected(dialog: Dialog) -> None:
-        dialog.answer(b"", status=b"421 Misdirected Request")
+        dialog.respond(b"", status=b"421 Misdirected Request")
 
-    gone, live = EndpointStandIn(misdirected), EndpointStandIn(ok)
+    gone, live = EndpointStandIn(misdirected), EndpointStandIn(respond_ok)
     entry = start_entry(gone, live)
     for number in range(4):
         caller = Caller(entry)
         caller.send("/once/a", rid=f"r-{number}")
-        assert status_of(caller.read_answer()) == 200
+        assert status_of(caller.read_response()) == 200
     assert len(gone.requests) <= 1
 
 
 def test_a_complete_stream_is_passed_on() -> None:
-    caller = Caller(start_entry(EndpointStandIn(full_stream)))
+    caller = Caller(start_entry(EndpointStandIn(send_full_stream)))
     caller.send("/draft/a", body=b"prompt")
-    assert body_of(caller.read_answer()) == stream(1, 2, 3)
+    assert body_of(caller.read_response()) == events(1, 2, 3)
 
 
 def test_a_truncated_stream_that_must_not_be_retried_does_not_look_complete() -> None:
-    endpoint = EndpointStandIn(cut_stream)
+    endpoint = EndpointStandIn(send_truncated_stream)
     caller = Caller(start_entry(endpoint))
     caller.send("/draft/a", body=b"prompt")
     data = b""
     with pytest.raises(OSError, match="reset"):
         while True:
-            data += caller.sock.fd.recv(65536) if _readable(caller) else b""
+            data += caller.sock.fd.recv(65536) if _wait_until_readable(caller) else b""
     assert not data.endswith(b"0\r\n\r\n")
     assert len(endpoint.requests) == 1
 
 
-def _readable(caller: Caller) -> bool:
+def _wait_until_readable(caller: Caller) -> bool:
     from eventlet.hubs import trampoline  # noqa: PLC0415
 
     trampoline(caller.sock.fd, read=True, timeout=3, timeout_exc=TimeoutError)
@@ -280,7 +280,7 @@
         dialog.chunk(event(3))
         dialog.chunk(b"")
 
-    scripts = [cut_stream, send_remaining_events]
+    scripts = [send_truncated_stream, send_remaining_events]
 
     def run_next_script(dialog: Dialog) -> None:
         scripts.pop(0)(dialog)
@@ -288,7 +288,7 @@
     endpoints = EndpointStandIn(run_next_script), EndpointStandIn(run_next_script)
     caller = Caller(start_entry(*endpoints))
     caller.send("/brief/a", body=b"prompt")
-    assert body_of(caller.read_answer()) == stream(1, 2, 3)
+    assert body_of(caller.read_response()) == events(1, 2, 3)
     requests = [row.requests for row in endpoints if row.requests]
     resumed = [r for rows in requests for r in rows if header_of(r, b"last-event-id")]
     assert [header_of(r, b"last-event-id") for r in resumed] == [b"2"]
@@ -298,36 +298,36 @@
     def endless(dialog: Dialog) -> None:
         dialog.start_stream()
         dialog.chunk(event(1))
-        dialog.wait_until_left()
+        dialog.wait_until_closed()
 
     endpoint = EndpointStandIn(endless)
     entry = start_entry(endpoint)
     caller = Caller(entry)
     caller.send("/draft/a", body=b"prompt")
-    caller.read_some()
+    caller.read_available()
     caller.close()
     eventlet.sleep(0.1)
-    assert endpoint.dialogs[0].left
+    assert endpoint.dialogs[0].is_closed_by_peer
     assert [row.in_flight_here for row in entry.endpoints] == [0]
 
 
 def test_a_long_body_does_not_delay_an_early_response() -> None:
     def respond_early(dialog: Dialog) -> None:
-        dialog.answer(b"", status=b"413 Too Large")
+        dialog.respond(b"", status=b"413 Too Large")
 
     caller = Caller(start_entry(EndpointStandIn(respond_early)))
     caller.send("/once/a", body=b"x" * 300_000)
-    assert status_of(caller.read_answer()) == 413
+    assert status_of(caller.read_response()) == 413
 
 
 def test_a_request_past_its_deadline_gets_a_final_response() -> None:
     def silent(dialog: Dialog) -> None:
-        dialog.wait_until_left()
+        dialog.wait_until_closed()
 
     endpoint = EndpointStandIn(silent)
     caller = Caller(start_entry(endpoint))
     caller.send("/once/a", deadline_ms=300)
-    response = caller.read_answer()
+    response = caller.read_response()
     assert status_of(response) == 504
     eventlet.sleep(0.1)
-    assert endpoint.dialogs[0].left
+    assert endpoint.dialogs[0].is_closed_by_peer
--- a/tests/direct/test_incarnations.py
+++ b/tests/direct/test_incarnations.py
@@ -9,7 +9,7 @@
 from dockreach.direct.endpoints import EndpointTable, Published, PublishResult
 from dockreach.direct.slot_messages import SampleKind
 
-from .cores import dispatcher, job, placed
+from .core_builders import dispatcher, job, placed
 
 
 def record(
@@ -27,7 +27,7 @@
     old = table.get("e-0")
     assert old is not None
     for number in range(2):
-        core.submit(job(f"old-{number}", arrived=9.0))
+        core.submit(job(f"old-{number}", arrived_at=9.0))
     assert len(placed(core.run_round(9.0))) == 2
     old.record_prefix("p", 9.0)
     old.record_failure(9.0)
@@ -43,7 +43,7 @@
         row.prefill_tokens,
     ) == (0, 0.0, 0, 0)
     assert not row.is_cached("p", 10.0)
-    core.submit(job("new", arrived=10.0))
+    core.submit(job("new", arrived_at=10.0))
     assert placed(core.run_round(10.0)) == ["new"]
 
 
--- a/tests/direct/test_leaving_engines.py
+++ b/tests/direct/test_leaving_engines.py
@@ -47,7 +47,7 @@
 
 def responding_with(status: bytes, extra: bytes) -> EndpointStandIn:
     """Return an endpoint that responds with this status and these headers."""
-    return EndpointStandIn(lambda dialog: dialog.answer(b"", status, extra))
+    return EndpointStandIn(lambda dialog: dialog.respond(b"", status, extra))
 
 
 @pytest.mark.parametrize(
@@ -68,12 +68,12 @@
     status: bytes, extra: bytes, is_leaving: bool
 ) -> None:
     entry = start_entry(
-        responding_with(status, extra), EndpointStandIn(lambda d: d.answer(b"fine"))
+        responding_with(status, extra), EndpointStandIn(lambda d: d.respond(b"fine"))
     )
     for number in range(2):
         caller = Caller(entry)
         caller.send("/safe/a", rid=f"r-{number}")
-        caller.read_answer()
+        caller.read_response()
     row = entry.endpoints.get("e-0")
     assert row is not None
     assert row.is_leaving is is_leaving
@@ -83,12 +83,12 @@
     def late_first(dialog: Dialog) -> None:
         dialog.send(b"HTTP/1.1 200 OK\r\nRequest-Id: r-0\r\nContent-Length: 0\r\n")
         dialog.send(LEAVING_HEADER + b"\r\n")
-        dialog.answer(b"fine")
+        dialog.respond(b"fine")
 
     entry = start_entry(EndpointStandIn(late_first))
     caller = Caller(entry)
     caller.send("/safe/a", rid="r-1")
-    assert body_of(caller.read_answer()) == b"fine"
+    assert body_of(caller.read_response()) == b"fine"
     (row,) = entry.endpoints
     assert row.is_leaving
 
@@ -110,7 +110,7 @@
     entry = start_entry(EndpointStandIn(slow_stream))
     caller = Caller(entry)
     caller.send("/draft/a")
-    response = caller.read_answer()
+    response = caller.read_response()
     assert status_of(response) == 200
     assert body_of(response).count(b"data: x") == 3
 
--- a/tests/direct/test_loops.py
+++ b/tests/direct/test_loops.py
@@ -5,7 +5,7 @@
 import eventlet
 import pytest
 
-from dockreach.direct.loops import AFTER_FAULT_S, run_forever
+from dockreach.direct.loops import ERROR_PAUSE_S, run_forever
 
 
 def test_an_error_ends_one_step_and_is_logged(caplog: pytest.LogCaptureFixture) -> None:
@@ -18,7 +18,7 @@
         eventlet.sleep(0.01)
 
     loop = eventlet.spawn(run_forever, step)
-    eventlet.sleep(AFTER_FAULT_S + 0.1)
+    eventlet.sleep(ERROR_PAUSE_S + 0.1)
     loop.kill()
     assert len(steps) > 3
     (row,) = [vars(row) for row in caplog.records if vars(row)["event"] == 731]
--- a/tests/direct/test_outcomes.py
+++ b/tests/direct/test_outcomes.py
@@ -10,7 +10,7 @@
     classify_response,
 )
 
-from .cores import stream_route
+from .core_builders import stream_route
 
 
 def progress(*times: float) -> DeliveryProgress:
--- a/tests/direct/test_peers.py
+++ b/tests/direct/test_peers.py
@@ -15,12 +15,12 @@
     PeerTable,
 )
 
-from .cores import OWN, address, digest, peers
+from .core_builders import OWN, address, digest, peers
 
 
 def test_an_older_digest_is_ignored() -> None:
     table = peers()
-    table.merge(digest(address(1), number=5, under_way={"e": 2}), 1.0)
+    table.merge(digest(address(1), number=5, in_flight={"e": 2}), 1.0)
     assert not table.merge(digest(address(1), number=4), 1.1).is_new
     assert table.in_flight(1.1) == {"e": 2}
 
@@ -43,8 +43,8 @@
 
 def test_requests_of_a_silent_peer_are_not_counted() -> None:
     table = peers()
-    table.merge(digest(address(1), under_way={"e": 2}), 1.0)
-    table.merge(digest(address(2), under_way={"e": 1}), 1.0 + FRESH_S)
+    table.merge(digest(address(1), in_flight={"e": 2}), 1.0)
+    table.merge(digest(address(2), in_flight={"e": 1}), 1.0 + FRESH_S)
     assert table.in_flight(1.1 + FRESH_S) == {"e": 1}
 
 
@@ -84,7 +84,7 @@
 
 def test_digests_are_sent_to_seeds_and_discovered_entries() -> None:
     table = PeerTable(OWN, (address(1), OWN))
-    table.merge(digest(address(2), known=[address(3), OWN]), 1.0)
+    table.merge(digest(address(2), known_peers=[address(3), OWN]), 1.0)
     assert set(table.targets()) == {address(1), address(2), address(3)}
 
 
@@ -117,12 +117,12 @@
 def test_a_digest_for_380_peers_and_1200_endpoints_fits_and_is_handled_quickly() -> None:
     table = peers()
     for number in range(380):
-        table.merge(digest(address(number), under_way={f"e-{number}": 1}), 1.0)
+        table.merge(digest(address(number), in_flight={f"e-{number}": 1}), 1.0)
     own = digest(
         OWN,
-        under_way={f"i-{number:010x}": 3 for number in range(1200)},
-        spent={f"organisation-{number}": [100] * 17 for number in range(320)},
-        known=table.addresses_to_share(RECENT_START_S),
+        in_flight={f"i-{number:010x}": 3 for number in range(1200)},
+        used={f"organisation-{number}": [100] * 17 for number in range(320)},
+        known_peers=table.addresses_to_share(RECENT_START_S),
     )
     data = encode(own)
     assert len(data) < 60_000
--- a/tests/direct/test_pool.py
+++ b/tests/direct/test_pool.py
@@ -11,16 +11,16 @@
 
 from dockreach.direct.endpoint_connection import EndpointConnection
 from dockreach.direct.http1 import ConnectError
-from dockreach.direct.pool import MOST_IDLE, ConnectionPool, idle_share
+from dockreach.direct.pool import MAX_IDLE_CONNECTIONS, ConnectionPool, idle_share
 
 from .standins import Dialog, EndpointStandIn
 
 
-def ok(dialog: Dialog) -> None:
-    dialog.answer(b"x")
+def respond_ok(dialog: Dialog) -> None:
+    dialog.respond(b"x")
 
 
-def used(pool: ConnectionPool, address: str) -> EndpointConnection:
+def used_connection(pool: ConnectionPool, address: str) -> EndpointConnection:
     """Send one request; return the connection after its response was read completely."""
     conn = pool.get(address)
     conn.send(b"GET", b"/", [(b"Host", b"h")], None)
@@ -35,36 +35,36 @@
     limit: int, entries: int
 ) -> None:
     share = idle_share(limit, entries)
-    assert 1 <= share <= MOST_IDLE
+    assert 1 <= share <= MAX_IDLE_CONNECTIONS
     assert share == 1 or share * entries <= limit / 2
 
 
 def test_a_connection_that_the_endpoint_closed_is_not_reused() -> None:
-    endpoint = EndpointStandIn(ok)
+    endpoint = EndpointStandIn(respond_ok)
     pool = ConnectionPool(1.0)
-    pool.put(used(pool, endpoint.address), 5.0)
+    pool.put(used_connection(pool, endpoint.address), 5.0)
     endpoint.dialogs[0].sock.shutdown(SHUT_RDWR)
     eventlet.sleep(0.05)
-    used(pool, endpoint.address)
+    used_connection(pool, endpoint.address)
     assert (pool.opened, pool.reused) == (2, 0)
 
 
 def test_a_connection_is_not_reused_after_the_endpoints_keep_alive_time() -> None:
-    endpoint = EndpointStandIn(ok)
+    endpoint = EndpointStandIn(respond_ok)
     pool = ConnectionPool(1.0)
-    pool.put(used(pool, endpoint.address), 1.0)
-    used(pool, endpoint.address)
+    pool.put(used_connection(pool, endpoint.address), 1.0)
+    used_connection(pool, endpoint.address)
     assert pool.reused == 0
 
 
 def test_no_more_idle_connections_are_kept_than_allowed() -> None:
-    endpoint = EndpointStandIn(ok)
+    endpoint = EndpointStandIn(respond_ok)
     pool = ConnectionPool(1.0)
-    conns = [used(pool, endpoint.address) for _ in range(3)]
+    conns = [used_connection(pool, endpoint.address) for _ in range(3)]
     for conn in conns:
         pool.put(conn, 9.0, 2)
     for _ in range(3):
-        used(pool, endpoint.address)
+        used_connection(pool, endpoint.address)
     assert (pool.opened, pool.reused) == (4, 2)
 
 
--- a/tests/direct/test_readers.py
+++ b/tests/direct/test_readers.py
@@ -13,7 +13,7 @@
     ReaderSelector,
 )
 
-from .cores import OWN, address, digest, peers
+from .core_builders import OWN, address, digest, peers
 
 APPLY_DEADLINE_S = 4.0
 
--- a/tests/direct/test_scheduling.py
+++ b/tests/direct/test_scheduling.py
@@ -14,7 +14,7 @@
 from dockreach.direct.slot_client import SlotClient
 from dockreach.direct.slot_server import SlotServer
 
-from .cores import OWN, dispatcher, endpoints, peers
+from .core_builders import OWN, dispatcher, endpoints, peers
 
 LONG_S = 0.004
 STEP_S = 0.0002
--- a/tests/direct/test_send_guard.py
+++ b/tests/direct/test_send_guard.py
@@ -22,7 +22,7 @@
 from dockreach.direct.send_guard import BlockReason, SendGuard
 from dockreach.verdict import Verdict
 
-from .cores import address, digest, endpoints, job, placed
+from .core_builders import address, digest, endpoints, job, placed
 
 NOW = 100.0
 WINDOW_S = 4.0
@@ -63,7 +63,7 @@
         for row in self.peers.rows:
             number = row.digest.number + 1
             self.peers.merge(digest(row.digest.address, number=number), now)
-        short_job = job(f"j-{next(self._numbers)}", arrived=now, give_up=now)
+        short_job = job(f"j-{next(self._numbers)}", arrived_at=now, queue_deadline=now)
         self.dispatcher.submit(short_job)
         assigned = placed(self.dispatcher.run_round(now))
         self.dispatcher.release(short_job)
@@ -198,7 +198,7 @@
         entry.row(1).speed.update_gap(1.0)
     entry.receive_limit(1.0)
     now = NOW + 0.1
-    stream = job("j", arrived=now, events=100.0)
+    stream = job("j", arrived_at=now, expected_events=100.0)
     entry.dispatcher.submit(stream)
     (decision,) = entry.dispatcher.run_round(now)
     assert isinstance(decision, Placed)
@@ -210,7 +210,7 @@
     for engine in (0, 1):
         entry.receive_limit(0.1, engine=engine)
         entry.row(engine).advertised.limit.next_due = NOW + 10.0 + engine
-    entry.dispatcher.submit(job("j", arrived=NOW, give_up=NOW + 3.0))
+    entry.dispatcher.submit(job("j", arrived_at=NOW, queue_deadline=NOW + 3.0))
     (decision,) = entry.dispatcher.run_round(NOW)
     assert isinstance(decision, Refused)
     assert decision.refusal.retry_after_s == pytest.approx(10.0, abs=0.3)
@@ -226,7 +226,9 @@
     # The back-off applies to the coordinator itself; it grants the slot to another entry.
     entry = DecidingEntry(0, [])
     set_backoff(entry, NOW + 3.0)
-    own, other = (job(rid, arrived=NOW, give_up=NOW + 4.0) for rid in ("own", "other"))
+    own, other = (
+        job(rid, arrived_at=NOW, queue_deadline=NOW + 4.0) for rid in ("own", "other")
+    )
     other.for_peer = True
     entry.dispatcher.submit(own)
     entry.dispatcher.submit(other)
@@ -239,7 +241,7 @@
 
 def test_a_slot_that_one_client_declines_is_granted_to_another() -> None:
     entry = DecidingEntry(0, [])
-    first, second = job("first", arrived=NOW), job("second", arrived=NOW)
+    first, second = job("first", arrived_at=NOW), job("second", arrived_at=NOW)
     first.for_peer = second.for_peer = True
     first.blocked_until = {"e-0": NOW + 1.0}
     for item in (first, second):
@@ -253,7 +255,7 @@
     entry = DecidingEntry(0, [], engines=2)
     set_backoff(entry, NOW + 5.0, engine=0)
     set_backoff(entry, NOW + 4.0, engine=1)
-    entry.dispatcher.submit(job("j", arrived=NOW, give_up=NOW + 3.0))
+    entry.dispatcher.submit(job("j", arrived_at=NOW, queue_deadline=NOW + 3.0))
     (decision,) = entry.dispatcher.run_round(NOW)
     assert isinstance(decision, Refused)
     assert decision.refusal.verdict is Verdict.NOT_RUN
@@ -263,7 +265,7 @@
 def test_a_job_waits_for_a_backoff_that_ends_in_time() -> None:
     entry = DecidingEntry(0, [])
     set_backoff(entry, NOW + 0.5)
-    entry.dispatcher.submit(job("j", arrived=NOW, give_up=NOW + 3.0))
+    entry.dispatcher.submit(job("j", arrived_at=NOW, queue_deadline=NOW + 3.0))
     assert entry.dispatcher.run_round(NOW) == []
     assert placed(entry.dispatcher.run_round(NOW + 0.5)) == ["j"]
 
--- a/tests/direct/test_serving.py
+++ b/tests/direct/test_serving.py
@@ -9,8 +9,8 @@
 from .standins import Caller, Dialog, EndpointStandIn, fill_pool, start_entry
 
 
-def ok(dialog: Dialog) -> None:
-    dialog.answer(b"fine")
+def respond_ok(dialog: Dialog) -> None:
+    dialog.respond(b"fine")
 
 
 def test_a_request_of_a_disconnected_caller_reaches_no_endpoint() -> None:
@@ -18,7 +18,7 @@
 
     Without a check before serving, endpoints would run requests that callers gave up.
     """
-    endpoint = EndpointStandIn(ok)
+    endpoint = EndpointStandIn(respond_ok)
     entry = start_entry(endpoint)
     fill_pool(entry, endpoint, 5)
     callers = [Caller(entry) for _ in range(5)]
