--- a/tests/platform/test_follower.py
+++ b/tests/platform/test_follower.py
@@ -253,7 +253,7 @@
             raise fault
         return take(revision, source)
 
-    monkeypatch.setattr(entry, "take_revision", faulty)
+    monkeypatch.setattr(entry, "apply_revision", faulty)
     store.put("op/config", config_record(8))
     eventlet.sleep(1.0)
     assert entry.revision is not None
