--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -118,8 +118,8 @@
     Edit(
         "retries and resumes",
         "direct/context.py",
-        "        return self.retry_budget.try_acquire(service, self.entry_count, self.now())",
-        "        return False",
+        "return self.retry_budget.try_acquire(service, self.entry_count, self.now())",
+        "return False",
     ),
 )
 """What can be switched off. The past assumed after a loss of all entries is not among
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -159,8 +159,10 @@
     Edit(
         "entries that have just started name all others that they know",
         "direct/peers.py",
-        "return rows if age_s < RECENT_START_S else self._round_robin.next_items(rows, max_count)",
-        "return self._round_robin.next_items(rows, max_count)",
+        "            rows\n"
+        "            if age_s < RECENT_START_S\n"
+        "            else self._round_robin.next_items(rows, max_count)\n",
+        "            self._round_robin.next_items(rows, max_count)\n",
     ),
     Edit(
         "long rounds leave time between them",
@@ -249,8 +251,8 @@
     Edit(
         "a place of one that has not heard of a limit is declined",
         "direct/send_guard.py",
-        "if limit.is_active and limit.next_due is not None and",
-        "if limit.is_active and False and",
+        "        limit.is_active\n        and limit.next_due is not None\n",
+        "        limit.is_active\n        and False\n",
     ),
     Edit(
         "of two words on a limit that overlap the stricter counts",
@@ -375,8 +377,10 @@
     Edit(
         "entries that start together share the rest of a limit",
         "direct/token_quota.py",
-        "used * self._peers.never_seen_count + unreported * len(self._peers.fresh(now))",
-        "0",
+        "used * self._peers.never_seen_count + unreported * len(\n"
+        "            self._peers.fresh(now)\n"
+        "        )\n",
+        "0\n",
     ),
     Edit(
         "tokens that are given back count from when they were spent",
