--- a/dockreach/direct/peers.py
+++ b/dockreach/direct/peers.py
@@ -163,15 +163,15 @@
 
     def expire(self, now: float) -> list[PeerRow]:
         """Remove peers that left or timed out; return their rows."""
-        gone = []
+        removed = []
         for address, row in list(self._rows.items()):
             limit = FRESH_S if row.digest.leaving else PEER_TIMEOUT_S
             if now - row.received_at > limit:
-                gone.append(self._rows.pop(address))
+                removed.append(self._rows.pop(address))
         for address, since in list(self._discovered.items()):
             if now - since > PEER_TIMEOUT_S:
                 del self._discovered[address]
-        return gone
+        return removed
 
     def addresses_to_share(self, age_s: float) -> list[Address]:
         """Return the peers to list in a digest: some of them, in round-robin order.
--- a/dockreach/direct/readers.py
+++ b/dockreach/direct/readers.py
@@ -75,13 +75,14 @@
 
     def is_reader(self, now: float) -> bool:
         """Return whether this entry polls the platform for others of its data hall."""
-        near = [
+        same_hall = [
             row.digest.address
             for row in self._peers.fresh(now)
             if row.digest.hall == self._hall and not row.digest.leaving
         ]
         names = [
-            f"{address.ip}:{address.port}" for address in (self._peers.own_address, *near)
+            f"{address.ip}:{address.port}"
+            for address in (self._peers.own_address, *same_hall)
         ]
         return names[0] in ranked(self._hall, names)[:READERS_PER_HALL]
 
--- a/dockreach/direct/view_sync.py
+++ b/dockreach/direct/view_sync.py
@@ -44,8 +44,8 @@
     Attributes:
         revision: Number of the current configuration; 0 for none.
         endpoints_revision: The platform's revision up to which the endpoint list was read.
-        is_platform_unavailable: Whether the platform has not responded for so long that endpoints may
-            have changed unnoticed.
+        is_platform_unavailable: Whether the platform has not responded for so long that
+            endpoints may have changed unnoticed.
         is_reader: Whether this entry polls the platform itself; otherwise it fetches the
             data from the readers of its data hall.
         orders_revision: The platform's revision of the last operator command; 0 for none.
@@ -96,9 +96,11 @@
         known = self._known_revisions()
         fresh = self._peers.fresh(now)
         if not known.is_reader:
-            near = [row for row in fresh if row.digest.hall == self._hall]
-            found = _ahead_in_commands(near, known)
-            found = found or _ahead(near, _endpoints_revision, known.endpoints_revision)
+            same_hall = [row for row in fresh if row.digest.hall == self._hall]
+            found = _ahead_in_commands(same_hall, known)
+            found = found or _ahead(
+                same_hall, _endpoints_revision, known.endpoints_revision
+            )
             if found is not None:
                 return found
         ahead = _ahead_in_commands(fresh, known)
--- a/tests/direct/test_notice_tracker.py
+++ b/tests/direct/test_notice_tracker.py
@@ -69,49 +69,49 @@
 
 
 def test_leaving_holds_for_the_rest_of_that_incarnation_only() -> None:
-    world = EntryFixture()
-    row = world.publish()
-    world.receive_response(row, LEAVING_NOTICE)
-    world.receive_response(row, NO_NOTICE)
-    assert world.publish(seq=2).is_leaving
+    entry = EntryFixture()
+    row = entry.publish()
+    entry.receive_response(row, LEAVING_NOTICE)
+    entry.receive_response(row, NO_NOTICE)
+    assert entry.publish(seq=2).is_leaving
     # Its registration lapses, and it is listed again.
-    world.table.remove("e-0")
-    assert world.publish(seq=3).is_leaving
-    assert not world.publish(born=2).is_leaving
+    entry.table.remove("e-0")
+    assert entry.publish(seq=3).is_leaving
+    assert not entry.publish(born=2).is_leaving
 
 
 def test_leaving_holds_for_an_incarnation_without_a_start_time() -> None:
-    world = EntryFixture()
-    world.receive_response(world.publish(born=0), LEAVING_NOTICE)
-    world.table.remove("e-0")
-    assert world.publish(born=0, seq=2).is_leaving
+    entry = EntryFixture()
+    entry.receive_response(entry.publish(born=0), LEAVING_NOTICE)
+    entry.table.remove("e-0")
+    assert entry.publish(born=0, seq=2).is_leaving
 
 
 def test_a_response_of_the_previous_incarnation_does_not_affect_the_new_one() -> None:
-    world = EntryFixture()
-    old = world.publish()
-    new = world.publish(born=2)
-    world.receive_response(old, EndpointNotice(rate=1.0, is_leaving=True, backoff_s=3.0))
+    entry = EntryFixture()
+    old = entry.publish()
+    new = entry.publish(born=2)
+    entry.receive_response(old, EndpointNotice(rate=1.0, is_leaving=True, backoff_s=3.0))
     assert not new.is_leaving
     assert not new.advertised.limit.is_active
-    assert world.table.advertising() == []
+    assert entry.table.advertising() == []
 
 
 def test_relayed_notices_of_another_incarnation_are_ignored() -> None:
-    world = EntryFixture()
-    row = world.publish(born=2)
-    world.notices.merge([RelayedNotice("e-0", 1, 1.0, 0.2, 0.1, True)], "entry-2")
-    world.notices.merge([RelayedNotice("e-9", 1, 1.0, 0.2, 0.1, True)], "entry-2")
+    entry = EntryFixture()
+    row = entry.publish(born=2)
+    entry.notices.merge([RelayedNotice("e-0", 1, 1.0, 0.2, 0.1, True)], "entry-2")
+    entry.notices.merge([RelayedNotice("e-9", 1, 1.0, 0.2, 0.1, True)], "entry-2")
     assert not row.is_leaving
     assert not row.advertised.limit.is_active
 
 
 def test_a_notice_is_announced_immediately_and_only_once() -> None:
-    world = EntryFixture()
-    row = world.publish()
+    entry = EntryFixture()
+    row = entry.publish()
     for _ in range(3):
-        world.receive_response(row, EndpointNotice(rate=1.0, is_leaving=True))
-    (notice,) = world.announced()
+        entry.receive_response(row, EndpointNotice(rate=1.0, is_leaving=True))
+    (notice,) = entry.announced()
     assert (notice.rate, notice.is_leaving, notice.born) == (1.0, True, 1)
     assert notice.request_age_s == pytest.approx(0.1)
     assert notice.report_age_s == 0.0
@@ -130,65 +130,65 @@
 
 
 def test_leaving_is_not_announced_if_the_platform_already_lists_it() -> None:
-    world = EntryFixture()
-    world.receive_response(world.publish(leaving=True), LEAVING_NOTICE)
-    assert world.sent == []
-    assert world.notices.next_notices() == []
+    entry = EntryFixture()
+    entry.receive_response(entry.publish(leaving=True), LEAVING_NOTICE)
+    assert entry.sent == []
+    assert entry.notices.next_notices() == []
 
 
 def test_rising_rates_are_announced_at_intervals_and_falling_rates_immediately() -> None:
-    world = EntryFixture()
-    row = world.publish()
+    entry = EntryFixture()
+    row = entry.publish()
     for rate in (1.0, 2.0, 3.0):
-        world.receive_response(row, limit_notice(rate), took_s=0.0)
-    assert [notice.rate for notice in world.announced()] == [1.0]
-    world.receive_response(row, limit_notice(0.5), took_s=0.0)
-    assert [notice.rate for notice in world.announced()] == [1.0, 0.5]
-    world.now += MIN_ANNOUNCE_INTERVAL_S
-    world.receive_response(row, limit_notice(2.0), took_s=0.0)
-    assert [notice.rate for notice in world.announced()] == [1.0, 0.5, 2.0]
+        entry.receive_response(row, limit_notice(rate), took_s=0.0)
+    assert [notice.rate for notice in entry.announced()] == [1.0]
+    entry.receive_response(row, limit_notice(0.5), took_s=0.0)
+    assert [notice.rate for notice in entry.announced()] == [1.0, 0.5]
+    entry.now += MIN_ANNOUNCE_INTERVAL_S
+    entry.receive_response(row, limit_notice(2.0), took_s=0.0)
+    assert [notice.rate for notice in entry.announced()] == [1.0, 0.5, 2.0]
 
 
 def test_leaving_is_announced_immediately_even_right_after_a_limit() -> None:
-    world = EntryFixture()
-    row = world.publish()
-    world.receive_response(row, limit_notice())
-    world.receive_response(row, EndpointNotice(rate=1.0, is_leaving=True))
-    assert [notice.is_leaving for notice in world.announced()] == [False, True]
+    entry = EntryFixture()
+    row = entry.publish()
+    entry.receive_response(row, limit_notice())
+    entry.receive_response(row, EndpointNotice(rate=1.0, is_leaving=True))
+    assert [notice.is_leaving for notice in entry.announced()] == [False, True]
 
 
 def test_digests_report_the_end_of_a_limit_for_some_time() -> None:
-    world = EntryFixture()
-    row = world.publish()
-    world.receive_response(row, limit_notice())
-    assert [notice.rate for notice in world.notices.next_notices()] == [1.0]
-    world.now += 1.0
-    world.receive_response(row, NO_NOTICE)
+    entry = EntryFixture()
+    row = entry.publish()
+    entry.receive_response(row, limit_notice())
+    assert [notice.rate for notice in entry.notices.next_notices()] == [1.0]
+    entry.now += 1.0
+    entry.receive_response(row, NO_NOTICE)
     assert row.advertised.limit.report.rate == UNLIMITED_RATE
-    assert [notice.rate for notice in world.notices.next_notices()] == [None]
-    world.now += ENDED_LIMIT_REPORT_S
-    world.notices.expire(world.now)
-    assert world.notices.next_notices() == []
-    assert world.table.advertising() == []
+    assert [notice.rate for notice in entry.notices.next_notices()] == [None]
+    entry.now += ENDED_LIMIT_REPORT_S
+    entry.notices.expire(entry.now)
+    assert entry.notices.next_notices() == []
+    assert entry.table.advertising() == []
 
 
 def test_a_limit_holds_until_a_newer_report_is_received() -> None:
-    world = EntryFixture()
-    row = world.publish()
-    world.receive_response(row, limit_notice())
-    world.now += 1000.0
-    world.notices.expire(world.now)
+    entry = EntryFixture()
+    row = entry.publish()
+    entry.receive_response(row, limit_notice())
+    entry.now += 1000.0
+    entry.notices.expire(entry.now)
     assert row.advertised.limit.is_active
-    assert world.table.advertising() == [row]
+    assert entry.table.advertising() == [row]
 
 
 def test_a_response_of_unknown_age_may_start_a_limit_but_not_end_one() -> None:
-    world = EntryFixture()
-    row = world.publish()
-    world.receive_response(row, limit_notice(), is_send_time_known=False)
+    entry = EntryFixture()
+    row = entry.publish()
+    entry.receive_response(row, limit_notice(), is_send_time_known=False)
     assert row.advertised.limit.is_active
-    world.now += 1.0
-    world.receive_response(row, NO_NOTICE, is_send_time_known=False)
+    entry.now += 1.0
+    entry.receive_response(row, NO_NOTICE, is_send_time_known=False)
     assert row.advertised.limit.is_active
 
 
@@ -196,39 +196,39 @@
     caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(logging.getLogger("dockreach"), "propagate", True)
-    world = EntryFixture()
-    row = world.publish()
-    world.receive_response(row, limit_notice())
+    entry = EntryFixture()
+    row = entry.publish()
+    entry.receive_response(row, limit_notice())
     invalid = InvalidValue("server-limit", "x", "not a decimal number")
     with caplog.at_level(logging.WARNING, "dockreach"):
         for _ in range(3):
-            world.now += 1.0
-            world.receive_response(row, EndpointNotice(rate=invalid, backoff_s=invalid))
+            entry.now += 1.0
+            entry.receive_response(row, EndpointNotice(rate=invalid, backoff_s=invalid))
     assert row.advertised.limit.report.rate == 1.0
-    assert row.advertised.backoff_until < world.now
+    assert row.advertised.backoff_until < entry.now
     number = Event.NOTICE_REFUSED.value
     logged = [line.message for line in caplog.records if vars(line)["event"] == number]
     assert logged == [invalid.problem]
 
 
 def test_successive_digests_report_all_endpoints() -> None:
-    world = EntryFixture()
+    entry = EntryFixture()
     for number in range(3 * MAX_NOTICES_PER_DIGEST):
-        world.receive_response(world.publish(f"e-{number}"), limit_notice())
+        entry.receive_response(entry.publish(f"e-{number}"), limit_notice())
     reported = {
-        notice.endpoint for _ in range(3) for notice in world.notices.next_notices()
+        notice.endpoint for _ in range(3) for notice in entry.notices.next_notices()
     }
     assert len(reported) == 3 * MAX_NOTICES_PER_DIGEST
 
 
 def test_a_limit_survives_a_short_absence_of_its_endpoint() -> None:
-    world = EntryFixture()
-    world.receive_response(world.publish(), limit_notice())
-    world.table.remove("e-0")
-    assert world.table.advertising() == []
-    row = world.publish(seq=2)
+    entry = EntryFixture()
+    entry.receive_response(entry.publish(), limit_notice())
+    entry.table.remove("e-0")
+    assert entry.table.advertising() == []
+    row = entry.publish(seq=2)
     assert row.advertised.limit.is_active
-    assert world.table.advertising() == [row]
+    assert entry.table.advertising() == [row]
 
 
 def test_a_report_relayed_back_and_forth_does_not_become_newer() -> None:
@@ -239,17 +239,17 @@
     for _ in range(50):
         for sender, receiver in ((first, second), (second, first)):
             notices = sender.notices.next_notices()
-            for world in (first, second):
-                world.now += 0.05
+            for entry in (first, second):
+                entry.now += 0.05
             receiver.notices.merge(notices, "peer")
     assert row.advertised.limit.report.received_at < 100.2
 
 
 def test_a_limit_that_is_reported_again_is_relayed_as_new() -> None:
     first, second = EntryFixture(), EntryFixture()
-    answering, row = first.publish(), second.publish()
+    responding, row = first.publish(), second.publish()
     for _ in range(3):
-        first.receive_response(answering, limit_notice())
+        first.receive_response(responding, limit_notice())
         second.notices.merge(first.notices.next_notices(), "peer")
         first.now = second.now = first.now + 1.0
     assert row.advertised.limit.report.received_at == pytest.approx(102.0)
--- a/tests/direct/test_readers.py
+++ b/tests/direct/test_readers.py
@@ -18,7 +18,7 @@
 APPLY_DEADLINE_S = 4.0
 
 
-def hall_of(own: Address, entries: int) -> PeerTable:
+def peers_in_hall(own: Address, entries: int) -> PeerTable:
     """Return the table of peers of one entry in a data hall."""
     table = PeerTable(own, ())
     for number in range(entries):
@@ -31,7 +31,7 @@
 def non_reader(entries: int = 10) -> tuple[ReaderSelector, PeerTable]:
     """Return the selector of an entry that is no reader, and its table of peers."""
     for number in range(entries):
-        table = hall_of(address(number), entries)
+        table = peers_in_hall(address(number), entries)
         selector = ReaderSelector(table, "hall1")
         if not selector.is_reader(100.0):
             return selector, table
@@ -48,7 +48,7 @@
 
 def test_a_few_entries_of_each_hall_are_readers() -> None:
     is_reader = [
-        ReaderSelector(hall_of(address(number), 12), "hall1").is_reader(100.0)
+        ReaderSelector(peers_in_hall(address(number), 12), "hall1").is_reader(100.0)
         for number in range(12)
     ]
     assert sum(is_reader) == READERS_PER_HALL
--- a/tests/direct/test_suspended.py
+++ b/tests/direct/test_suspended.py
@@ -35,7 +35,7 @@
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self._patch = monkeypatch
 
-    def sleep(self) -> None:
+    def suspend(self) -> None:
         """Pause this process; only ``time.monotonic`` stands still meanwhile."""
         original = time.monotonic
         time.sleep(SUSPENDED_S)
@@ -82,7 +82,7 @@
     caller.send("/once/a", rid="r-late", body=b"x", deadline_ms=1000)
     eventlet.sleep(0.05)
     assert b"r-late" not in request_ids(engine)
-    suspension.sleep()
+    suspension.suspend()
     for active in busy:
         active.close()
     assert status_of(caller.read_response()) == 503
@@ -95,7 +95,7 @@
 ) -> None:
     entry = start_entry()
     before = entry.ctx.now()
-    suspension.sleep()
+    suspension.suspend()
     assert entry.ctx.now() - before >= SUSPENDED_S
 
 
@@ -105,6 +105,6 @@
     start_entry()
     fired: list[float] = []
     eventlet.spawn_after(SUSPENDED_S, lambda: fired.append(1.0))
-    suspension.sleep()
+    suspension.suspend()
     eventlet.sleep(0.1)
     assert fired
