--- a/dockreach/direct/caller_connection.py
+++ b/dockreach/direct/caller_connection.py
@@ -111,8 +111,8 @@
 
     def _receive(self) -> bool:
         if self._http.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(status_code=100, headers=[])
-            self._sock.sendall(self._http.send(go_on))
+            response = h11.InformationalResponse(status_code=100, headers=[])
+            self._sock.sendall(self._http.send(response))
         data = receive(self._sock)
         self._http.receive_data(data)
         return bool(data)
--- a/dockreach/direct/context.py
+++ b/dockreach/direct/context.py
@@ -21,7 +21,19 @@
 
 @dataclass(slots=True)
 class Counters:
-    """Counters of the direct path since the start of the process."""
+    """Counters of the direct path since the start of the process.
+
+    Attributes:
+        requests: Requests of callers.
+        answered: Requests with a complete response.
+        refused: Requests that were refused and not run.
+        lost: Requests that may have run, but whose response was lost.
+        cut: Responses that were aborted after their head was sent.
+        callers_gone: Connections that callers closed before the response was complete.
+        retries: Upstream attempts after a failed one, resumed streams included.
+        resumes: Not used, and always 0.
+        late_answers: Late responses to earlier requests, which are skipped.
+    """
 
     requests: int = 0
     answered: int = 0
--- a/dockreach/direct/endpoint_connection.py
+++ b/dockreach/direct/endpoint_connection.py
@@ -146,13 +146,15 @@
         """
         while self.read_data() is not None:
             pass
-        rest, closed = self._http.trailing_data
+        remainder, is_closed = self._http.trailing_data
         self._http = _new_http_client()
-        bare = h11.Request(method=self._request.method, target="/", headers=[("Host", "-")])
-        self._http.send(bare)
+        dummy = h11.Request(
+            method=self._request.method, target="/", headers=[("Host", "-")]
+        )
+        self._http.send(dummy)
         self._http.send(h11.EndOfMessage())
-        self._http.receive_data(rest)
-        if closed:
+        self._http.receive_data(remainder)
+        if is_closed:
             self._http.receive_data(b"")
 
     def _next_event(self) -> Any:  # noqa: ANN401
--- a/dockreach/direct/entry.py
+++ b/dockreach/direct/entry.py
@@ -113,10 +113,10 @@
         self.send_guard = SendGuard(
             self._coordinator_selector, self.endpoints, settings.cold_tolerance
         )
-        chooser = EndpointSelector(
+        selector = EndpointSelector(
             self.endpoints, settings.hall, policy, guard=self.send_guard
         )
-        self.dispatcher = Dispatcher(self.endpoints, chooser)
+        self.dispatcher = Dispatcher(self.endpoints, selector)
         self.slot_client = SlotClient(
             settings.gossip,
             self._incarnation,
@@ -222,7 +222,7 @@
 
     @property
     def _is_ready_for_callers(self) -> bool:
-        """Whether callers that wait during startup gain nothing from waiting longer."""
+        """Whether callers that wait during startup can be served now."""
         return self.is_ready and not self.ctx.quotas.is_discovering_peers(clock.now())
 
     # State that the platform publishes.
@@ -284,12 +284,12 @@
         revision = self.revision.number if self.revision else 0
         now = clock.now()
         age_s = self.feeds.endpoints.age_s(now, self.started)
-        is_cut_off = age_s > OUTAGE_FRACTION * self.settings.apply_deadline_s
+        is_unavailable = age_s > OUTAGE_FRACTION * self.settings.apply_deadline_s
         is_reader = self._readers.is_reader(now)
         return KnownRevisions(
             revision,
             self._endpoints_revision,
-            is_cut_off,
+            is_unavailable,
             is_reader,
             self.evacuated.revision,
         )
@@ -300,14 +300,14 @@
         published = [row.published for row in self.endpoints]
         number = self.revision.number if self.revision else 0
         lapsed = [row.id for row in self.endpoints if row.lapsed_until is not None]
-        emptied = sorted(self.endpoints.evacuated)
+        evacuated = sorted(self.endpoints.evacuated)
         return View(
             number,
             text,
             self._endpoints_revision,
             published,
             lapsed,
-            emptied,
+            evacuated,
             self.evacuated.revision,
         )
 
@@ -377,9 +377,9 @@
         else:
             parts = {ENDPOINTS: known.endpoints_revision}
         now = clock.now()
-        in_force_s = self.settings.apply_deadline_s
+        apply_deadline_s = self.settings.apply_deadline_s
         return all(
-            self._readers.may_skip_call(part, feed, revision, in_force_s, now)
+            self._readers.may_skip_call(part, feed, revision, apply_deadline_s, now)
             for part, revision in parts.items()
         )
 
@@ -396,8 +396,8 @@
         self.ctx.scheduler.handle_state(state)
 
     @_on_message.register
-    def _(self, answer: SlotReply) -> None:
-        self.ctx.scheduler.handle_reply(answer)
+    def _(self, reply: SlotReply) -> None:
+        self.ctx.scheduler.handle_reply(reply)
 
     @_on_message.register
     def _(self, update: CrashUpdate) -> None:
@@ -424,18 +424,21 @@
             self.ctx.quotas.keep_ended_peers([previous])
         # The requests of a silent peer are not counted, so they are not subtracted either.
         was_counted = previous is not None and self.peers.is_fresh(previous, now)
-        old = (
+        old_in_flight = (
             self._in_flight_not_granted_here(previous.digest)
             if previous is not None and was_counted
             else {}
         )
         if self.endpoints.replace_peer_in_flight(
-            old, self._in_flight_not_granted_here(digest)
+            old_in_flight, self._in_flight_not_granted_here(digest)
         ):
             self.ctx.scheduler.run_round()
 
     def _is_probe_owner(self, fingerprint: bytes) -> bool:
-        """Return whether this entry, of all fresh ones, probes a quarantined request."""
+        """Return whether this entry is the one to probe a quarantined request.
+
+        It is exactly one of the entries that are not silent, if all of them see the same.
+        """
         own = self.settings.gossip
         peers = [row.digest.address for row in self.peers.fresh(clock.now())]
         names = [f"{row.ip}:{row.port}" for row in (own, *peers)]
--- a/dockreach/direct/forwarder.py
+++ b/dockreach/direct/forwarder.py
@@ -335,7 +335,10 @@
         )
 
     def _first_timeout_s(self) -> float | None:
-        """Return the read timeout for a response's head, in seconds."""
+        """Return the read timeout up to the first event or a plain response, in seconds.
+
+        It is ``None`` if the request cannot be retried; then only its deadline applies.
+        """
         route = self._route
         if not self._has_another_attempt:
             return None
@@ -345,6 +348,7 @@
         return factor * route.objective_s
 
     def _gap_timeout_s(self) -> float | None:
+        """Return the read timeout between events, in seconds; ``None`` for no timeout."""
         route = self._route
         if route.retry_mode is not RetryMode.RESUME or not self._has_another_attempt:
             return None
--- a/dockreach/direct/pool.py
+++ b/dockreach/direct/pool.py
@@ -91,7 +91,8 @@
 
         Args:
             conn: The connection.
-            keep_alive_s: Keep-alive time of the endpoint, in seconds; ``None`` if not reported.
+            keep_alive_s: Keep-alive time of the endpoint, in seconds; ``None`` if it did
+                not report one.
             max_idle: Maximum number of idle connections to this endpoint.
         """
         reusable_s = (
--- a/dockreach/direct/request_handler.py
+++ b/dockreach/direct/request_handler.py
@@ -192,16 +192,16 @@
 
     def _max_idle(self, service: str) -> int:
         """Return the maximum number of idle connections to an endpoint of a service."""
-        declared = self._revision.services.get(service)
-        if declared is None:
+        config = self._revision.services.get(service)
+        if config is None:
             return 1
-        return idle_share(declared.max_connections, self._ctx.entry_count)
+        return idle_share(config.max_connections, self._ctx.entry_count)
 
     def _expected_events(self, service: str) -> float:
         """Return the expected number of events in the response."""
-        declared = self._revision.services.get(service)
+        config = self._revision.services.get(service)
         tokens = self._req.expected_output_tokens or self._req.max_output_tokens
-        return tokens / (declared.event_tokens if declared else 1.0)
+        return tokens / (config.event_tokens if config else 1.0)
 
     def _classify_response(self) -> Outcome:
         """Classify the complete response by how well it served its caller."""
@@ -230,8 +230,8 @@
         self, event: Event, outcome: Outcome, refusal: Refusal | None = None
     ) -> None:
         """Count and log how the request ended."""
-        record = RequestSummary(self._ctx, self._req, self._plan, self._forwarder)
-        record.emit(event, outcome, refusal, revision=self._revision.number)
+        summary = RequestSummary(self._ctx, self._req, self._plan, self._forwarder)
+        summary.emit(event, outcome, refusal, revision=self._revision.number)
 
 
 def _allowed_regions(
--- a/dockreach/direct/request_plan.py
+++ b/dockreach/direct/request_plan.py
@@ -14,7 +14,7 @@
     Attributes:
         organisation: The organisation that sent it; ``None`` on a public route.
         quota_tokens: Tokens charged to the organisation's quota.
-        deadline: Monotonic time at which the caller or the route gives up on it, in seconds.
+        deadline: Monotonic time at which the caller or the route gives up, in seconds.
         first_attempt_at: Monotonic time of its caller's first attempt, in seconds.
         fingerprint: Identifies the request; the same for all attempts of its caller.
         allowed_regions: Regions in which it may run; ``None`` for all.
--- a/dockreach/direct/requests.py
+++ b/dockreach/direct/requests.py
@@ -19,12 +19,12 @@
         target: Path and query as they were sent.
         headers: All headers as sent, in order, including repeated ones.
         key: The caller's API key; empty if it sent none.
-        deadline_s: How long the caller waits from `arrived`, in seconds; ``None`` if it
+        deadline_s: How long the caller waits from `arrived_at`, in seconds; ``None`` if it
             sent no deadline.
         prompt_tokens: Tokens of the prompt; 0 if not given.
         max_output_tokens: Upper limit of the generated tokens; 0 if not given.
-        expected_output_tokens: The caller's estimate of the generated tokens; 0 if not given. It is
-            right in the median and often far off.
+        expected_output_tokens: The caller's estimate of the generated tokens; 0 if not
+            given. It is right in the median and often far off.
         has_token_counts: Whether the caller sent token counts.
         prefix: Ids and token counts of the prompt's parts, in order.
         last_event_id: Id of the last event that the caller has; empty if it sent none.
@@ -80,8 +80,8 @@
         load: Load that the endpoint reports. Not used to select an endpoint: the digests
             of other entries are fresher than the load in an earlier response.
         rid: Id of the request that the response belongs to; empty if not given.
-        keep_alive_s: How long the endpoint keeps the idle connection open, in seconds; ``None``
-            if not given.
+        keep_alive_s: How long the endpoint keeps the idle connection open, in seconds;
+            ``None`` if not given.
         notice: Other status headers of the endpoint.
     """
 
--- a/tests/direct/standins.py
+++ b/tests/direct/standins.py
@@ -376,7 +376,7 @@
     def read_response(self) -> bytes:
         """Read one response, up to its length or its last chunk."""
         data = b""
-        while not _is_whole(data):
+        while not _is_complete(data):
             received = self.read_available()
             if not received:
                 return data
@@ -388,7 +388,7 @@
         self.sock.close()
 
 
-def _is_whole(data: bytes) -> bool:
+def _is_complete(data: bytes) -> bool:
     head, blank_line, body = data.partition(b"\r\n\r\n")
     if not blank_line:
         return False
--- a/tests/direct/test_entry.py
+++ b/tests/direct/test_entry.py
@@ -164,11 +164,11 @@
 
 
 def test_entries_count_each_others_requests_in_flight() -> None:
-    def endless(dialog: Dialog) -> None:
+    def send_endless_stream(dialog: Dialog) -> None:
         dialog.start_stream()
         dialog.wait_until_closed()
 
-    endpoint = EndpointStandIn(endless)
+    endpoint = EndpointStandIn(send_endless_stream)
     first = start_entry(endpoint)
     settings = replace(entry_settings(), seeds=(first.settings.gossip,))
     second = start_entry(endpoint, settings=settings)
--- a/tests/direct/test_entry_pages.py
+++ b/tests/direct/test_entry_pages.py
@@ -21,7 +21,7 @@
 
 
 def quarantined_on(entry: Entry) -> list[bytes]:
-    """Return the time series of quarantined requests."""
+    """Return the time series of quarantined requests on an entry's metrics page."""
     return series(entry, "request_barred_seconds")
 
 
@@ -60,10 +60,10 @@
 
 def test_advertised_state_and_blocked_endpoints_are_shown() -> None:
     fleet = AdvertisingFleet(entries=2, engines=3)
-    limited, leaving, resting = fleet.engines
+    limited, leaving, overloaded = fleet.engines
     limited.extra_headers = b"Server-Limit: 0.5\r\n"
     leaving.extra_headers = b"Server-Leaving: 1\r\n"
-    resting.reject_requests(b"Retry-After: 5\r\n")
+    overloaded.reject_requests(b"Retry-After: 5\r\n")
     fleet.send_load(per_s=40.0, for_s=0.5)
     for entry in fleet.entries:
         (row,) = series(entry, "endpoint_limit_per_second")
--- a/tests/direct/test_forwarder.py
+++ b/tests/direct/test_forwarder.py
@@ -135,35 +135,35 @@
 
 
 def test_a_late_response_to_another_request_is_skipped() -> None:
-    def late_then_own(dialog: Dialog) -> None:
+    def respond_late_and_then_own(dialog: Dialog) -> None:
         dialog.send(
             b"HTTP/1.1 200 OK\r\nRequest-Id: r-old\r\nContent-Length: 5\r\n\r\nwrong"
         )
         dialog.respond(b"right")
 
-    endpoint = EndpointStandIn(late_then_own)
+    endpoint = EndpointStandIn(respond_late_and_then_own)
     caller = Caller(start_entry(endpoint))
     caller.send("/once/a", rid="r-new")
     assert body_of(caller.read_response()) == b"right"
 
 
 def test_a_response_without_length_that_is_reset_is_not_complete() -> None:
-    def unframed_reset(dialog: Dialog) -> None:
+    def reset_unframed_response(dialog: Dialog) -> None:
         dialog.send(b"HTTP/1.1 200 OK\r\nRequest-Id: " + dialog.rid + b"\r\n\r\nhalf")
         eventlet.sleep(0.05)
         dialog.reset()
 
-    caller = Caller(start_entry(EndpointStandIn(unframed_reset)))
+    caller = Caller(start_entry(EndpointStandIn(reset_unframed_response)))
     caller.send("/once/a")
     assert status_of(caller.read_response()) == 502
 
 
 def test_a_response_without_length_that_ends_in_order_is_complete() -> None:
-    def unframed(dialog: Dialog) -> None:
+    def respond_unframed(dialog: Dialog) -> None:
         dialog.send(b"HTTP/1.1 200 OK\r\nRequest-Id: " + dialog.rid + b"\r\n\r\nwhole")
         dialog.sock.close()
 
-    caller = Caller(start_entry(EndpointStandIn(unframed)))
+    caller = Caller(start_entry(EndpointStandIn(respond_unframed)))
     caller.send("/once/a")
     assert body_of(caller.read_response()) == b"whole"
 
@@ -195,10 +195,10 @@
 
 
 def test_the_last_endpoints_error_response_is_passed_on_unchanged() -> None:
-    def fails(dialog: Dialog) -> None:
+    def respond_with_error(dialog: Dialog) -> None:
         dialog.respond(b"broken", status=b"500 Oops")
 
-    endpoints = EndpointStandIn(fails), EndpointStandIn(fails)
+    endpoints = EndpointStandIn(respond_with_error), EndpointStandIn(respond_with_error)
     caller = Caller(start_entry(*endpoints))
     caller.send("/safe/a", method="GET")
     response = caller.read_response()
@@ -208,10 +208,10 @@
 
 
 def test_an_endpoints_refusal_becomes_a_not_run_response_with_a_retry_time() -> None:
-    def full(dialog: Dialog) -> None:
+    def refuse(dialog: Dialog) -> None:
         dialog.respond(b"", status=b"503 Full", extra=b"Not-Executed: 1\r\n")
 
-    caller = Caller(start_entry(EndpointStandIn(full)))
+    caller = Caller(start_entry(EndpointStandIn(refuse)))
     caller.send("/once/a")
     response = caller.read_response()
     assert status_of(response) == 503
@@ -295,12 +295,12 @@
 
 
 def test_the_endpoints_work_stops_when_the_caller_disconnects() -> None:
-    def endless(dialog: Dialog) -> None:
+    def send_endless_stream(dialog: Dialog) -> None:
         dialog.start_stream()
         dialog.chunk(event(1))
         dialog.wait_until_closed()
 
-    endpoint = EndpointStandIn(endless)
+    endpoint = EndpointStandIn(send_endless_stream)
     entry = start_entry(endpoint)
     caller = Caller(entry)
     caller.send("/draft/a", body=b"prompt")
@@ -321,10 +321,10 @@
 
 
 def test_a_request_past_its_deadline_gets_a_final_response() -> None:
-    def silent(dialog: Dialog) -> None:
+    def never_respond(dialog: Dialog) -> None:
         dialog.wait_until_closed()
 
-    endpoint = EndpointStandIn(silent)
+    endpoint = EndpointStandIn(never_respond)
     caller = Caller(start_entry(endpoint))
     caller.send("/once/a", deadline_ms=300)
     response = caller.read_response()
