--- a/tests/platform/store_standin.py
+++ b/tests/platform/store_standin.py
@@ -1,4 +1,4 @@
-"""In-process stand-in for the platform's store: pages, watches and failure modes."""
+"""In-process stand-in for the platform's store, with pages, watches and failure modes."""
 
 from __future__ import annotations
 
@@ -45,8 +45,8 @@
     """Keeps items and the history of their changes, and serves them over HTTP.
 
     Attributes:
-        failure_mode: How calls fail: a status to respond with, ``"silent"`` for no response or
-            ``"reset"`` for a reset connection; empty if they succeed.
+        failure_mode: How calls fail: a status to respond with, ``"silent"`` for no response
+            or ``"reset"`` for a reset connection; empty if they succeed.
         page_items: Items in a page.
         trickle_s: Pause after each piece of a response, in seconds; 0 sends it whole.
     """
--- a/tests/platform/test_follower.py
+++ b/tests/platform/test_follower.py
@@ -40,8 +40,8 @@
     return store
 
 
-def start_following_entry(store: StoreStandIn, in_force_s: float = 2.0) -> Entry:
-    settings = replace(entry_settings(), apply_deadline_s=in_force_s)
+def start_following_entry(store: StoreStandIn, apply_deadline_s: float = 2.0) -> Entry:
+    settings = replace(entry_settings(), apply_deadline_s=apply_deadline_s)
     entry = Entry(settings, PlatformAdapter())
     StoreFollower(store.address, entry).start()
     wait_for_readiness(entry, ready=True)
@@ -100,12 +100,12 @@
     assert entry.endpoints.get("i-2") is None
 
 
-@pytest.mark.parametrize("failing", [503, 429, "reset"])
+@pytest.mark.parametrize("failure_mode", [503, 429, "reset"])
 def test_after_an_outage_deleted_endpoints_lapse_and_changes_are_applied(
-    store: StoreStandIn, failing: int | str
+    store: StoreStandIn, failure_mode: int | str
 ) -> None:
     entry = start_following_entry(store)
-    store.failure_mode = failing
+    store.failure_mode = failure_mode
     store.delete("servers/i-3")
     store.put("op/config", config_record(8))
     eventlet.sleep(0.5)
@@ -162,7 +162,7 @@
 
 
 def test_calls_to_an_unresponsive_store_time_out(store: StoreStandIn) -> None:
-    entry = start_following_entry(store, in_force_s=0.4)
+    entry = start_following_entry(store, apply_deadline_s=0.4)
     store.failure_mode = "silent"
     eventlet.sleep(0.4)
     store.failure_mode = ""
@@ -205,13 +205,13 @@
 def test_a_compacted_history_is_distinguished_from_other_errors(
     store: StoreStandIn,
 ) -> None:
-    reader = StoreClient(store.address)
+    client = StoreClient(store.address)
     store.compact_history()
     with pytest.raises(HistoryCompactedError):
-        reader.watch("servers/", 1, LIMITS)
+        client.watch("servers/", 1, LIMITS)
     store.failure_mode = 503
     with pytest.raises(PlatformError, match="503"):
-        reader.list("servers/", LIMITS)
+        client.list("servers/", LIMITS)
 
 
 def test_a_value_that_is_not_base64_does_not_affect_other_records(
@@ -246,14 +246,14 @@
 ) -> None:
     entry = start_following_entry(store)
     faults = iter([ZeroDivisionError("a fault of the program")])
-    take = entry.apply_revision
+    apply_revision = entry.apply_revision
 
-    def faulty(revision: ConfigRevision, source: str) -> bool:
+    def raise_once(revision: ConfigRevision, source: str) -> bool:
         for fault in faults:
             raise fault
-        return take(revision, source)
+        return apply_revision(revision, source)
 
-    monkeypatch.setattr(entry, "apply_revision", faulty)
+    monkeypatch.setattr(entry, "apply_revision", raise_once)
     store.put("op/config", config_record(8))
     eventlet.sleep(1.0)
     assert entry.revision is not None
--- a/tests/platform/test_freshness.py
+++ b/tests/platform/test_freshness.py
@@ -4,8 +4,8 @@
 on one of its routes was refused with 404, and another one went to the service of an older
 configuration.
 
-How it comes about: the store was silent for 8 s. Each entry's watch timed out after 4.0 s
-only: 3 s of waiting and 1 s for the response, chosen to keep the number of charged calls
+How it comes about: the store was silent for 8 s. Each entry's watch timed out only after
+4.0 s: 3 s of waiting and 1 s for the response, chosen to keep the number of charged calls
 low and not for the 2 s in which a change must be applied. The third such call was sent
 0.6 s before the store recovered and timed out 3.4 s after that; a retry delay of 0.4 to
 0.8 s followed. All entries had their last response within 2 ms of each other, so no peer
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -113,7 +113,7 @@
         (response_head(429, (b"Retry-After", b"3")), NO_NOTICE),
         # A response of 421 comes from another endpoint that has the address now.
         (response_head(421, (b"Server-Leaving", b"1"), (b"Server-Limit", b"1")), NO_NOTICE),
-        # Endpoints that stay also close connections now and then.
+        # Endpoints close connections now and then without leaving.
         (response_head(200, (b"Connection", b"close")), NO_NOTICE),
     ],
 )
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -60,7 +60,7 @@
             return
         except OSError:
             eventlet.sleep(0.002)
-    raise AssertionError("the entry does not listen")
+    raise AssertionError("the entry did not start to listen in time")
 
 
 def _wait_for_line(process: subprocess.Popen[bytes], name: bytes) -> None:
@@ -85,7 +85,7 @@
 def test_a_second_stop_signal_does_not_interrupt_requests(tmp_path: Path) -> None:
     store = StoreStandIn()
     endpoint = EndpointStandIn(_respond_late)
-    server = {
+    endpoint_fields = {
         **ENDPOINT_RECORD,
         "service": "work",
         "address": endpoint.address,
@@ -93,7 +93,7 @@
         "slots": 2,
     }
     store.put("op/config", json.dumps(CONFIGURATION).encode())
-    store.put("servers/e-1", json.dumps(server).encode())
+    store.put("servers/e-1", json.dumps(endpoint_fields).encode())
     content = {**fields_with_free_ports(), "platform": {"address": store.address}}
     content["port_range"] = [free_port(), free_port()]
     process = _start(write_settings(tmp_path, content))
--- a/tests/platform/test_startup.py
+++ b/tests/platform/test_startup.py
@@ -45,9 +45,9 @@
     assert isinstance(startup.settings, SettingsError)
 
 
-def test_the_startup_module_imports_neither_eventlet_nor_click() -> None:
+def test_the_startup_module_does_not_import_eventlet_click_or_h11() -> None:
     code = (
-        "import sys; import dockreach_platform.early;"
+        "import sys; import dockreach_platform.startup;"
         "print([name for name in ('eventlet', 'click', 'h11') if name in sys.modules])"
     )
     root = Path(__file__).resolve().parents[2]
