--- a/dockreach/direct/coordinator_selection.py
+++ b/dockreach/direct/coordinator_selection.py
@@ -5,10 +5,11 @@
 the same slot while other endpoints are idle, and tiers are ordered within each entry only.
 A single entry that assigns all slots of a service knows them all.
 
-Weighted rendezvous hashing over the entries that currently send digests selects the
-coordinator. There is no election and no stored state: while entries disagree for a moment,
-some endpoints are overloaded, and an unresponsive coordinator costs each of its clients a
-few reply timeouts (`slot_client.REPLY_TIMEOUT_S`) once.
+Weighted rendezvous hashing over the entries that currently send digests, their periodic
+state messages, selects the coordinator. There is no election and no stored state: while
+entries disagree for a moment, some endpoints are overloaded, and an unresponsive
+coordinator costs each of its clients a few reply timeouts (`slot_client.REPLY_TIMEOUT_S`)
+once.
 """
 
 from __future__ import annotations
@@ -54,7 +55,8 @@
         peers: The other entries.
         capacity: Fraction of a processor core that this entry may use.
         started_at: Monotonic time of this entry's start, in seconds.
-        is_independent: Whether coordination is off, so that each entry decides independently.
+        is_independent: Whether coordination is off, so that each entry decides
+            independently.
         has_clients: Returns whether other entries request slots of a service from this one.
 
     Attributes:
@@ -92,11 +94,11 @@
         if not self.is_leaving:
             capacities[self._peers.own_address] = self._capacity
             ages[self._peers.own_address] = now - self._started_at
-        mature = [
+        old_enough = [
             address for address, age_s in ages.items() if age_s >= MIN_COORDINATOR_AGE_S
         ]
         winner = max(
-            mature or ages,
+            old_enough or ages,
             key=lambda address: (_score(service, address, capacities[address]), address.ip),
             default=None,
         )
@@ -119,9 +121,9 @@
                 if self._has_clients(service)
                 else CoordinationMode.INDEPENDENT
             )
-        is_mature = now - self._started_at >= MIN_COORDINATOR_AGE_S
-        is_sure = is_mature and self.is_entry_count_known
-        return CoordinationMode.COORDINATOR if is_sure else CoordinationMode.UNCERTAIN
+        is_old_enough = now - self._started_at >= MIN_COORDINATOR_AGE_S
+        is_certain = is_old_enough and self.is_entry_count_known
+        return CoordinationMode.COORDINATOR if is_certain else CoordinationMode.UNCERTAIN
 
     @property
     def is_entry_count_known(self) -> bool:
--- a/dockreach/direct/jobs.py
+++ b/dockreach/direct/jobs.py
@@ -16,11 +16,10 @@
 abandon a stream after four objectives without an event."""
 
 PLAIN_QUEUE_TIMEOUT_OBJECTIVES = 1.0
-"""How long a plain request may wait for a slot, in multiples of its route's objective."""
+"""The same for a plain request, that is one whose response is not a stream."""
 
 MIN_RETRY_AFTER_S = 0.3
-"""Lower bound of Retry-After for callers whose requests waited and were refused, in
-seconds."""
+"""Lower bound of Retry-After for requests that got no slot in time, in seconds."""
 
 MAX_QUEUE_FRACTION = 0.5
 """Largest fraction of the time left until the caller's deadline that a request may spend
@@ -50,22 +49,24 @@
     All times are monotonic, in seconds.
 
     Attributes:
+        rid: Id of the request.
         rank: Order among waiting jobs; the lowest goes first.
         arrived_at: Time at which the whole request had been received.
         queue_deadline: Time at which it is refused if it still waits.
         expected_events: Number of events that its response is likely to have.
         deadline: Time at which the caller or the route's timeout abandons it.
         estimated_first_attempt_at: Time of its caller's first attempt, as estimated.
-        is_admitted: Whether it was admitted to the queue, so that it is no longer rejected
-            early.
+        is_admitted: Whether it was admitted to the queue. It is then rejected early only
+            if a job of a higher tier is.
         tried_endpoints: Endpoints that it was sent to before.
         endpoint: The endpoint of its slot; ``None`` while it waits.
-        prefill_tokens: Prompt tokens that the endpoint has to prefill for it; 0 after the prefill.
+        prefill_tokens: Prompt tokens that the endpoint has to prefill for it; 0 after the
+            prefill.
         prefill_ahead: Prompt tokens that the endpoint had to prefill before these.
         found_free_slot: Whether the endpoint had a free slot for it, as far as was known.
         number: Number of the job at its entry, used to request slots; 0 otherwise.
         for_peer: Whether it is another entry's.
-        granted_by: IP number of the entry that granted the slot; empty if this entry
+        granted_by: IP address of the entry that granted the slot; empty if this entry
             assigned it.
         allowed_halls: Data halls in which it may run; ``None`` for all.
         fingerprint: The same for each attempt of its request; empty if it is another
--- a/dockreach/direct/pressure.py
+++ b/dockreach/direct/pressure.py
@@ -27,7 +27,8 @@
     Attributes:
         arrivals: Times at which jobs arrived in the last window.
         assignments: Times at which jobs got slots in the last window.
-        waiting_since: Time since which every job has had to wait; ``None`` if the last one did not.
+        waiting_since: Time since which every job has had to wait; ``None`` if the last one
+            did not.
     """
 
     arrivals: deque[float] = field(default_factory=deque)
--- a/dockreach/direct/scheduling.py
+++ b/dockreach/direct/scheduling.py
@@ -131,7 +131,7 @@
             self._next_round_at = now + (1 + ROUND_PAUSE_FACTOR) * took_s
 
     def _schedule_round(self, seconds: float) -> None:
-        """Schedule a round for all that comes until then, unless one is scheduled."""
+        """Schedule a round that handles all events until then, unless one is scheduled."""
         if not self._is_round_scheduled:
             self._is_round_scheduled = True
             eventlet.spawn_after(seconds, self._run_scheduled_round)
@@ -199,5 +199,5 @@
 
 
 def _timeout_s(job: Job, now: float) -> float:
-    """Return how long to wait until a job's queue deadline, in seconds."""
+    """Return the time until a job's queue deadline, at least the slack, in seconds."""
     return max(job.queue_deadline - now, TIMER_SLACK_S)
--- a/dockreach/direct/slot_client.py
+++ b/dockreach/direct/slot_client.py
@@ -96,7 +96,8 @@
         guard: Limits what endpoints are sent.
 
     Attributes:
-        fallback_count: Number of jobs that this entry took over from unresponsive coordinators.
+        fallback_count: Number of jobs that this entry took over from unresponsive
+            coordinators.
     """
 
     def __init__(
@@ -243,7 +244,7 @@
         return jobs
 
     def _current_session(self, service: str, now: float) -> _Session:
-        """Return the session of a service, after a change to its present coordinator."""
+        """Return the session of a service, switched to its current coordinator."""
         session = self._sessions.setdefault(service, _Session())
         coordinator = self._coordinators.coordinator_of(service, now)
         if coordinator != session.coordinator:
@@ -255,7 +256,7 @@
         return session
 
     def _close(self, service: str, session: _Session) -> None:
-        """Send a coordinator an empty state, so that it releases this entry's slots."""
+        """Queue an empty state, with which the coordinator releases this entry's slots."""
         if session.coordinator is not None:
             self._closing_states.append(
                 (session.coordinator, self._new_state(service, [], [], []))
--- a/dockreach/direct/slot_messages.py
+++ b/dockreach/direct/slot_messages.py
@@ -116,8 +116,8 @@
         incarnation: A random number, drawn at each start of the sender.
         number: Number of the state; rises with each state.
         samples: What the sender measured since its last state.
-        recent_sends: Recent requests of the sender to endpoints, for a coordinator that has not
-            replied to it yet.
+        recent_sends: Recent requests of the sender to endpoints, for a coordinator that has
+            not replied to it yet.
     """
 
     address: Address
--- a/dockreach/direct/slot_server.py
+++ b/dockreach/direct/slot_server.py
@@ -134,9 +134,9 @@
         self, client: _Client, held_job: HeldJob, service: str, now: float
     ) -> None:
         """Count a slot that was granted elsewhere, or that the client acquired itself."""
-        waiting = client.waiting.pop(held_job.number, None)
-        if waiting is not None:
-            self._end_job(waiting)
+        queued = client.waiting.pop(held_job.number, None)
+        if queued is not None:
+            self._end_job(queued)
         row = self._endpoints.get(held_job.endpoint)
         if row is None:
             return
--- a/dockreach/direct/warm_up.py
+++ b/dockreach/direct/warm_up.py
@@ -54,10 +54,11 @@
     """Whether one endpoint is still warming up, as far as is known.
 
     Attributes:
-        reported_cold_until: Monotonic time until which it is cold as it itself reports, in seconds.
-        assumed_cold_since: Monotonic time of the last event after which endpoints are assumed to be
-            cold, in seconds: a start, the end of a time in which it was unreachable, or of
-            the evacuation of its data hall.
+        reported_cold_until: Monotonic time until which the endpoint itself reports to be
+            cold, in seconds.
+        assumed_cold_since: Monotonic time of the last event after which an endpoint is
+            assumed to be cold, in seconds: its start, its return after it was unreachable,
+            or the end of an evacuation of its data hall.
         is_unreachable: Whether the last attempt to connect to it failed.
     """
 
--- a/tests/direct/test_coordinator_selection.py
+++ b/tests/direct/test_coordinator_selection.py
@@ -23,8 +23,8 @@
     return table
 
 
-def selector(table: PeerTable, *, started: float = 0.0) -> CoordinatorSelector:
-    return CoordinatorSelector(table, capacity=1.0, started_at=started)
+def selector(table: PeerTable, *, started_at: float = 0.0) -> CoordinatorSelector:
+    return CoordinatorSelector(table, capacity=1.0, started_at=started_at)
 
 
 def test_all_entries_select_the_same_coordinator() -> None:
@@ -77,7 +77,7 @@
 
 def test_with_only_new_entries_one_of_them_coordinates() -> None:
     table = three_peers(age_s=0.1)
-    selector_ = selector(table, started=100.0)
+    selector_ = selector(table, started_at=100.0)
     assert len({selector_.coordinator_of(f"s-{n}", 100.1) for n in range(50)}) == 4
 
 
--- a/tests/direct/test_dispatching.py
+++ b/tests/direct/test_dispatching.py
@@ -113,7 +113,7 @@
     assert queue.waiting() == {"work": 9}
 
 
-def test_an_admitted_job_is_not_rejected_early() -> None:
+def test_an_admitted_job_keeps_waiting() -> None:
     queue = busy_dispatcher(10)
     queue.submit(job("waits", arrived_at=5.0, queue_deadline=9.0))
     assert queue.run_round(5.0) == []
--- a/tests/direct/test_send_guard.py
+++ b/tests/direct/test_send_guard.py
@@ -40,10 +40,10 @@
         self.table = endpoints(*[6] * engines)
         coordinators = CoordinatorSelector(self.peers, capacity=1.0, started_at=0.0)
         self.guard = SendGuard(coordinators, self.table, rng=random.Random(number))
-        chooser = EndpointSelector(
+        selector = EndpointSelector(
             self.table, "hall1", SelectionPolicy.MEASURED, guard=self.guard
         )
-        self.dispatcher = Dispatcher(self.table, chooser)
+        self.dispatcher = Dispatcher(self.table, selector)
         self._numbers = itertools.count()
 
     def row(self, number: int = 0) -> EndpointRow:
--- a/tests/direct/test_warm_up.py
+++ b/tests/direct/test_warm_up.py
@@ -60,10 +60,10 @@
         self.coordinators = coordinators
         self.guard = SendGuard(coordinators, self.table, TOLERANCE)
         self.guard.apply_services(SERVICES)
-        chooser = EndpointSelector(
+        selector = EndpointSelector(
             self.table, "hall1", SelectionPolicy.MEASURED, guard=self.guard
         )
-        self.dispatcher = Dispatcher(self.table, chooser)
+        self.dispatcher = Dispatcher(self.table, selector)
         for number in range(engines):
             self.publish(number)
 
