--- a/dockreach/direct/crash_history.py
+++ b/dockreach/direct/crash_history.py
@@ -29,7 +29,7 @@
     """An engine crash during a request, as one entry reports it to others.
 
     Attributes:
-        incarnation: Incarnation of the engine.
+        incarnation: Id of the engine's incarnation.
         request_age_s: Time since the request was sent to it, in seconds.
         crash_age_s: Time since it crashed, in seconds.
         is_sudden: Whether it may have been dead before the request was sent to it.
@@ -45,7 +45,7 @@
     """The crash history of a request, as one entry reports it to others.
 
     Attributes:
-        fingerprint: Of the request.
+        fingerprint: Fingerprint of the request.
         crashes: Engine crashes while the request was running.
         cleared: Incarnations among them that exited for another reason: the request has
             completed since.
@@ -62,7 +62,7 @@
     """A run of a request during which the engine crashed.
 
     Attributes:
-        incarnation: Incarnation of the engine.
+        incarnation: Id of the engine's incarnation.
         sent_at: Monotonic time at which the request was sent to it, in seconds.
         crashed_at: Monotonic time of the crash, in seconds.
         is_sudden: Whether the engine may have been dead before.
@@ -93,8 +93,8 @@
         cleared: Incarnations whose crash it did not cause.
         last_seen_at: Monotonic time at which it last arrived, in seconds.
         changed_at: Monotonic time at which the history last changed, in seconds.
-        probed_at: Monotonic time of the last run that was let through here under restrictions,
-            as a probe or as the single copy, in seconds.
+        probed_at: Monotonic time of the last run that was let through here under
+            restrictions, as a probe or as the single copy, in seconds.
     """
 
     last_seen_at: float
@@ -104,7 +104,7 @@
     cleared: set[str] = field(default_factory=set)
 
     def sequential_runs(self, crashed_at: Mapping[str, float]) -> list[CrashedRun]:
-        """Return the crashed runs that did not overlap in time.
+        """Return the suspected runs, with only the first of those that overlap.
 
         Overlapping runs count once: a whole service may be killed at once while the same
         harmless request is in flight at several of its engines.
@@ -119,7 +119,7 @@
         return sequential
 
     def evidence(self, crashed_at: Mapping[str, float]) -> float:
-        """Return the sum of the weights of the runs."""
+        """Return the sum of the weights of the sequential runs."""
         return sum(
             SUDDEN_CRASH_WEIGHT if run.is_sudden else 1.0
             for run in self.sequential_runs(crashed_at)
@@ -134,7 +134,10 @@
         return sum(run.sent_at >= since for run in runs)
 
     def is_serialized(self, crashed_at: Mapping[str, float]) -> bool:
-        """Return whether `SERIALIZE_AFTER` engines crashed, even if all at once."""
+        """Return whether one copy may run at a time: `SERIALIZE_AFTER` engines crashed.
+
+        They count even if all crashed at once.
+        """
         return len(self.crashes) >= SERIALIZE_AFTER <= len(self._suspected_runs(crashed_at))
 
     def _suspected_runs(self, crashed_at: Mapping[str, float]) -> list[CrashedRun]:
--- a/dockreach/direct/crash_reporter.py
+++ b/dockreach/direct/crash_reporter.py
@@ -39,9 +39,10 @@
 time."""
 
 RESEND_DELAYS_S = (0.1, 0.4, 1.2)
-"""Delays after which the report on a quarantined request is sent again, in seconds: of four
-datagrams one arrives on a link that loses half, before most callers retry. A first crash is
-reported once, and then with digests: at 300 entries each report takes 300 datagrams."""
+"""Delays after which the report on a quarantined request is sent again, in seconds: on a
+link that loses half of the datagrams, one of four arrives before most callers retry. A
+first crash is reported once, and then with digests: at 300 entries each report takes 300
+datagrams."""
 
 MAX_STARTUP_REPORTS = 16
 """Maximum number of requests reported at once to an entry that has just started."""
@@ -88,8 +89,10 @@
         organisation: Organisation whose key the request carries.
         row: The engine.
         sent_at: Monotonic time at which the request was sent to it, in seconds.
-        ended_at: Monotonic time at which its connection broke or it was abandoned, in seconds.
-        is_connection_broken: Whether the connection broke; otherwise the entry abandoned the request.
+        ended_at: Monotonic time at which its connection broke or it was abandoned, in
+            seconds.
+        is_connection_broken: Whether the connection broke; otherwise the entry abandoned
+            the request.
     """
 
     path: str
@@ -105,7 +108,8 @@
     """Reports engine crashes during requests of this entry.
 
     Args:
-        quarantine: Crashes that all entries have observed, and the requests they quarantine.
+        quarantine: Crashes that all entries have observed, and the requests they
+            quarantine.
         endpoints: Endpoints that requests are sent to.
         send_all: Sends an update to all other entries.
         clock: Returns the monotonic time, in seconds.
@@ -174,7 +178,7 @@
         self._pending[request.row.incarnation] = requests
 
     def handle_incarnation_end(self, row: EndpointRow) -> None:
-        """Record that the platform reports an engine as gone or restarted."""
+        """Handle the platform's report that an engine is gone or has restarted."""
         if row.is_leaving:
             self._pending.pop(row.incarnation, None)
         else:
--- a/dockreach/direct/quarantine.py
+++ b/dockreach/direct/quarantine.py
@@ -57,8 +57,8 @@
 streams younger than 1 s suspected it was 3.06 (200 simulated days of 200 s)."""
 
 HARMLESS_RUN_S = 1.0
-"""A stream that has produced events for longer is not suspected either, in seconds: a slow
-engine produces few."""
+"""A stream that has produced events for longer than this is not suspected either, in
+seconds: a slow engine produces few."""
 
 HARMLESS_TTL_S = 5.0
 """How long a completed request is not suspected at this entry, in seconds: a request that
@@ -91,10 +91,10 @@
 
 
 COPY_GAP_S = 2.0
-"""Interval between two runs of a request during whose overlapping runs three engines
-crashed, in seconds: within it either one more engine crashes or a response clears the
-request. Without it 11 of 160 simulations with four entries sent more than three runs after
-the third crash, up to eleven."""
+"""Interval between two runs of a serialized request, in seconds: three engines crashed
+while copies of it ran at the same time. Within the interval either one more engine crashes
+or a response clears the request. Without it 11 of 160 simulations with four entries sent
+more than three runs after the third crash, up to eleven."""
 
 QUARANTINED_REFUSAL = Refusal(
     Verdict.NOT_RUN, Reason.CRASHES_ENGINES, retry_after_s=RETENTION_S
@@ -134,7 +134,8 @@
 
     Args:
         clock: Returns the monotonic time, in seconds.
-        is_probe_owner: Returns whether this entry is the one that probes a quarantined request.
+        is_probe_owner: Returns whether this entry is the one that probes a request when its
+            quarantine is due for a probe.
         max_runs: Number of crashed runs after which a request is quarantined.
     """
 
@@ -221,12 +222,13 @@
         """Record a crash of an engine during a request; return whether to report it.
 
         Args:
-            fingerprint: Of the request.
-            incarnation: Incarnation of the engine; it counts once.
+            fingerprint: Fingerprint of the request.
+            incarnation: Id of the engine's incarnation; each counts once.
             sent_at: Monotonic time at which the request was sent to the engine, in seconds.
             crashed_at: Monotonic time of the crash, in seconds.
-            is_connection_broken: Whether the connection broke at that time; otherwise the caller left or
-                the deadline passed, while the engine was running the request.
+            is_connection_broken: Whether the connection broke at that time; otherwise the
+                caller left or the deadline passed, while the engine was running the
+                request.
         """
         if fingerprint in self._completed:
             # This crash is not reported to peers, so it must not change anything here
@@ -262,7 +264,7 @@
         return True
 
     def merge(self, report: CrashReport) -> bool:
-        """Merge a peer's report; return whether it makes the request quarantined."""
+        """Merge a peer's report; return whether that quarantines the request."""
         now = self._clock()
         previous = self._histories.get(report.fingerprint)
         was_quarantined = previous is not None and self._meets_threshold(previous)
--- a/dockreach/direct/retry_budget.py
+++ b/dockreach/direct/retry_budget.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 
 USABLE_FRACTION = 0.7
-"""Fraction of the budget that is used; the rest covers retries of peers that
-this entry does not know yet."""
+"""Fraction of the budget that is used; the rest covers retries of peers that this entry
+does not know yet."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
         self._times_in_window(self._requests, service, now).append(now)
 
     def try_acquire(self, service: str, entries: int, now: float) -> bool:
-        """Take one repeat from the budget; return whether there was one left.
+        """Take one retry from the budget; return whether there was one left.
 
         Args:
             service: The service that the request goes to.
--- a/dockreach/direct/token_quota.py
+++ b/dockreach/direct/token_quota.py
@@ -254,7 +254,7 @@
         return round(max(buckets) / BUCKET_S * age_s)
 
     def _estimate_after_state_loss(self, name: str, now: float) -> int:
-        """Estimate what peers may have used unreported, after all entries lost their state.
+        """Estimate usage that peers have not reported, after all entries lost their state.
 
         Entries that start together have callers of the same organisation waiting, and each
         sees all that remains of the quota. Every peer is assumed to have used as much as
@@ -396,11 +396,11 @@
         known = len(self._peers) + 1
         factor = known / (known - len(silent))
         since = min(row.received_at for row in silent)
-        recently = self._used_since(organisation.name, since, now) + tokens
-        return used - recently + tokens + recently * factor
+        recent_usage = self._used_since(organisation.name, since, now) + tokens
+        return used - recent_usage + tokens + recent_usage * factor
 
     def _admit_limit(self, organisation: Organisation, seconds: float) -> float:
-        """Return the number of tokens that may be admitted within part of the window."""
+        """Return the number of tokens that may be admitted within some seconds."""
         fraction = BURST_FRACTION + (1 - BURST_FRACTION) * min(
             seconds / self._window_s, 1.0
         )
@@ -423,8 +423,8 @@
     def _assumed_predecessor_usage(self, organisation: Organisation, now: float) -> float:
         """Return what may have been used before this process started.
 
-        If all entries were lost, none knows. The maximum that can have been used in the
-        rest of the window is then assumed.
+        If all entries were lost, this is unknown. The maximum that can have been used in
+        the rest of the window is then assumed.
         """
         if not self._has_lost_state(now):
             return 0.0
--- a/tests/direct/test_crash_reporter.py
+++ b/tests/direct/test_crash_reporter.py
@@ -176,7 +176,7 @@
     event, as nine of nine crashes by one body did. A slow engine produces few in a second.
     """
 
-    def end_after_some(dialog: Dialog) -> None:
+    def exit_after_some_events(dialog: Dialog) -> None:
         dialog.start_stream()
         for number in range(events):
             dialog.chunk(f"id: {number}\ndata: x\n\n".encode())
@@ -184,5 +184,5 @@
         engine.close()
         dialog.reset()
 
-    engine = EndpointStandIn(end_after_some)
+    engine = EndpointStandIn(exit_after_some_events)
     assert count_suspects_after(start_entry(engine), "/draft/a") == 0
--- a/tests/direct/test_crashing_requests.py
+++ b/tests/direct/test_crashing_requests.py
@@ -143,7 +143,7 @@
 
 
 def test_a_stream_that_has_run_for_a_while_is_not_suspected() -> None:
-    def end_late(dialog: Dialog) -> None:
+    def exit_late(dialog: Dialog) -> None:
         dialog.start_stream()
         for number in range(12):
             dialog.chunk(f"id: {number}\ndata: x\n\n".encode())
@@ -151,7 +151,7 @@
         engine.close()
         dialog.reset()
 
-    engine = EndpointStandIn(end_late)
+    engine = EndpointStandIn(exit_late)
     assert count_suspects_after(start_entry(engine), "/draft/a") == 0
 
 
@@ -225,7 +225,7 @@
 def test_an_entry_that_missed_a_report_receives_it_with_a_digest() -> None:
     fleet = CrashingFleet(entries=2, engines=3)
     first, second = fleet.entries
-    first.ctx.crashes._send_all = lambda news: None
+    first.ctx.crashes._send_all = lambda update: None
     for _ in range(2):
         fleet.request(first, CRASHING_BODY)
         eventlet.sleep(GOSSIP_S)
--- a/tests/direct/test_quarantine.py
+++ b/tests/direct/test_quarantine.py
@@ -159,13 +159,13 @@
 
 def test_crashes_at_several_entries_add_up() -> None:
     clock = FakeClock()
-    tables = [new_quarantine(clock) for _ in range(MAX_RUNS)]
-    for quarantine in tables:
+    quarantines = [new_quarantine(clock) for _ in range(MAX_RUNS)]
+    for quarantine in quarantines:
         record_crashes(quarantine, clock, 1)
     new_entry = new_quarantine(clock)
     quarantined = [
         new_entry.merge(report)
-        for quarantine in tables
+        for quarantine in quarantines
         for report in quarantine.next_reports()
     ]
     assert quarantined == [False] * (MAX_RUNS - 1) + [True]
@@ -242,11 +242,11 @@
 ) -> None:
     rng = random.Random(seed)
     clock = FakeClock()
-    tables = [new_quarantine(clock) for _ in range(entries)]
+    quarantines = [new_quarantine(clock) for _ in range(entries)]
     messages: list[tuple[int, CrashReport]] = []
     for _ in range(rng.randint(1, 12)):
         clock.advance(rng.uniform(0.0, 1.0))
-        quarantine = rng.choice(tables)
+        quarantine = rng.choice(quarantines)
         if rng.random() < 0.2:
             quarantine.record_completion(BODY)
         else:
@@ -261,21 +261,21 @@
         for recipient, report in [
             messages.pop() for _ in range(rng.randint(0, len(messages)))
         ]:
-            tables[recipient].merge(report)
+            quarantines[recipient].merge(report)
     # Digests repeat the reports: two rounds reach all entries.
     for _ in range(2):
-        for quarantine in tables:
+        for quarantine in quarantines:
             for report in quarantine.report(BODY):
-                for other in tables:
+                for other in quarantines:
                     other.merge(report)
-    assert len({quarantine.is_quarantined(BODY) for quarantine in tables}) == 1
+    assert len({quarantine.is_quarantined(BODY) for quarantine in quarantines}) == 1
 
 
-def exchange_reports(tables: list[RequestQuarantine], rng: random.Random) -> None:
+def exchange_reports(quarantines: list[RequestQuarantine], rng: random.Random) -> None:
     """Send the reports of each entry to all others; three tenths of them are lost."""
-    for sender in tables:
+    for sender in quarantines:
         for report in sender.next_reports():
-            for other in tables:
+            for other in quarantines:
                 if other is not sender and rng.random() < 0.7:
                     other.merge(report)
 
@@ -293,8 +293,8 @@
     """
     rng = random.Random(seed)
     clock = FakeClock()
-    tables = [new_quarantine(clock, is_probe_owner=number == 0) for number in range(4)]
-    for _ in tables:
+    quarantines = [new_quarantine(clock, is_probe_owner=number == 0) for number in range(4)]
+    for _ in quarantines:
         rng.random()
     crash_after_s = rng.choice([0.001, 0.1, 1.5])
     at_once = rng.choice([1, 3, 8])
@@ -309,7 +309,7 @@
         ]:
             running.remove((sent_at, entry))
             crash_times.append(sent_at + crash_after_s)
-            tables[entry].record_crash(
+            quarantines[entry].record_crash(
                 BODY,
                 f"life-{len(crash_times)}",
                 sent_at=sent_at,
@@ -317,11 +317,11 @@
             )
         if rng.random() < step_s / gap_s:
             for _ in range(rng.randint(1, at_once)):
-                entry = rng.randrange(len(tables))
-                if tables[entry].admit(BODY) in MAY_RUN:
+                entry = rng.randrange(len(quarantines))
+                if quarantines[entry].admit(BODY) in MAY_RUN:
                     sent.append(clock.now)
                     running.append((clock.now, entry))
-        exchange_reports(tables, rng)
+        exchange_reports(quarantines, rng)
     third_crash = sorted(crash_times)[2] if len(crash_times) > 2 else clock.now
     assert sum(at > third_crash + CONVERGENCE_S for at in sent) <= MAX_LATE_RUNS
 
--- a/tests/direct/test_token_quota.py
+++ b/tests/direct/test_token_quota.py
@@ -38,10 +38,12 @@
 
 
 def new_quota_table(
-    known: PeerTable | None = None, *, has_predecessor: bool = False
+    peer_table: PeerTable | None = None, *, has_predecessor: bool = False
 ) -> QuotaTable:
-    known = known if known is not None else peers()
-    return QuotaTable(known, TOLERANCE, started_at=0.0, has_predecessor=has_predecessor)
+    peer_table = peer_table if peer_table is not None else peers()
+    return QuotaTable(
+        peer_table, TOLERANCE, started_at=0.0, has_predecessor=has_predecessor
+    )
 
 
 def use_all(quotas: QuotaTable, now: float, piece: int = 100) -> int:
@@ -165,8 +167,8 @@
 def test_a_new_entry_relies_on_the_usage_that_older_peers_report() -> None:
     known = peers()
     quotas = new_quota_table(known, has_predecessor=True)
-    reported = digest(address(1), fleet_used={"assessors": 12_500}, age_s=60.0)
-    known.merge(reported, 1.0)
+    sent_digest = digest(address(1), fleet_used={"assessors": 12_500}, age_s=60.0)
+    known.merge(sent_digest, 1.0)
     assert quotas.admit(organisation(), 600, 1.0) is not None
 
 
@@ -238,12 +240,12 @@
     def send_digests(self, now: float, *, together: bool) -> None:
         self.number += 1
         for index, quotas in enumerate(self.quotas):
-            reported = digest(
+            sent_digest = digest(
                 self.addresses[index], number=self.number, used=quotas.own_usage(now)
             )
-            for other, table_ in enumerate(self.peers):
+            for other, peer_table in enumerate(self.peers):
                 if other != index and (together or 0 not in (other, index)):
-                    table_.merge(reported, now)
+                    peer_table.merge(sent_digest, now)
 
     def use_all(self, now: float, piece: int) -> int:
         total = 0
@@ -256,17 +258,18 @@
 
     def _send_digest(self, index: int, now: float) -> None:
         self.number += 1
-        reported = digest(
+        sent_digest = digest(
             self.addresses[index],
             number=self.number,
             used=self.quotas[index].own_usage(now),
         )
-        for other, table_ in enumerate(self.peers):
+        for other, peer_table in enumerate(self.peers):
             row = next(
-                (r for r in table_.rows if r.digest.address == reported.address), None
+                (r for r in peer_table.rows if r.digest.address == sent_digest.address),
+                None,
             )
-            if other != index and row is not None and table_.is_fresh(row, now):
-                table_.merge(reported, now)
+            if other != index and row is not None and peer_table.is_fresh(row, now):
+                peer_table.merge(sent_digest, now)
 
 
 def _max_usage_in_window(usage_by_time: dict[float, int]) -> float:
@@ -296,8 +299,12 @@
             for peer_table in self.peers
         ]
         self._addresses = addresses
-        self._gap_s = max(MIN_DIGEST_INTERVAL_S, DIGEST_INTERVAL_PER_PEER_S * (entries - 1))
-        self._next_digest_at = [self.rng.uniform(0, self._gap_s) for _ in addresses]
+        self._digest_interval_s = max(
+            MIN_DIGEST_INTERVAL_S, DIGEST_INTERVAL_PER_PEER_S * (entries - 1)
+        )
+        self._next_digest_at = [
+            self.rng.uniform(0, self._digest_interval_s) for _ in addresses
+        ]
         self._load_shares = [self.rng.expovariate(1) for _ in addresses]
         self._number = 0
 
@@ -306,17 +313,17 @@
         for number, due in enumerate(self._next_digest_at):
             if due > now:
                 continue
-            self._next_digest_at[number] = now + self._gap_s
+            self._next_digest_at[number] = now + self._digest_interval_s
             self._number += 1
-            reported = digest(
+            sent_digest = digest(
                 self._addresses[number],
                 number=self._number,
                 age_s=now + 100.0,
                 used=self.tables[number].own_usage(now),
             )
-            for other, known in enumerate(self.peers):
+            for other, peer_table in enumerate(self.peers):
                 if other != number:
-                    known.merge(reported, now)
+                    peer_table.merge(sent_digest, now)
 
     def use(self, load: float, until: float) -> list[tuple[float, int]]:
         """Request a multiple of the quota; return the admitted tokens, with their times."""
@@ -326,9 +333,9 @@
         while now < until:
             now += self.rng.expovariate(owner.rate * load / 50)
             self.send_digests(now)
-            (table,) = self.rng.choices(self.tables, self._load_shares)
+            (quota_table,) = self.rng.choices(self.tables, self._load_shares)
             tokens = max(1, int(self.rng.lognormvariate(0, 1.0) * 30))
-            if table.admit(owner, tokens, now) is None:
+            if quota_table.admit(owner, tokens, now) is None:
                 admitted.append((now, tokens))
         return admitted
 
@@ -340,8 +347,8 @@
         super().__init__(entries, seed)
         self.peers = [PeerTable(own, self._addresses[:3]) for own in self._addresses]
         self.tables = [
-            QuotaTable(known, NO_SLACK, started_at=0.0, has_predecessor=False)
-            for known in self.peers
+            QuotaTable(peer_table, NO_SLACK, started_at=0.0, has_predecessor=False)
+            for peer_table in self.peers
         ]
         self._by_address = dict(zip(self._addresses, self.peers, strict=True))
         self._next_digest_at = [
@@ -353,18 +360,18 @@
         for number, due in enumerate(self._next_digest_at):
             if due > now:
                 continue
-            table = self.peers[number]
-            self._next_digest_at[number] = now + table.digest_interval_s
+            peer_table = self.peers[number]
+            self._next_digest_at[number] = now + peer_table.digest_interval_s
             self._number += 1
-            reported = digest(
-                table.own_address,
+            sent_digest = digest(
+                peer_table.own_address,
                 number=self._number,
                 age_s=now,
                 used=self.tables[number].own_usage(now),
-                known_peers=table.addresses_to_share(now),
+                known_peers=peer_table.addresses_to_share(now),
             )
-            for target in table.targets():
-                self._by_address[target].merge(reported, now)
+            for target in peer_table.targets():
+                self._by_address[target].merge(sent_digest, now)
 
 
 def max_window_usage(admitted: list[tuple[float, int]], window_s: float = WINDOW_S) -> int:
--- a/tests/direct/test_token_quota_after_state_loss.py
+++ b/tests/direct/test_token_quota_after_state_loss.py
@@ -18,6 +18,8 @@
 
 QUOTA = 10_000
 KILLED_S = 12.0
+"""Time at which all entries are killed, in seconds."""
+
 DOWN_S = 0.8
 """How long no entry accepts requests, in seconds."""
 
