--- a/dockreach/direct/quarantine.py
+++ b/dockreach/direct/quarantine.py
@@ -134,8 +134,8 @@
 
     Args:
         clock: Returns the monotonic time, in seconds.
-        is_probe_owner: Returns whether this entry is the one that probes a request when its
-            quarantine is due for a probe.
+        is_probe_owner: Returns whether this entry is the one that may run probes and single
+            copies of a request.
         max_runs: Number of crashed runs after which a request is quarantined.
     """
 
--- a/dockreach/direct/token_quota.py
+++ b/dockreach/direct/token_quota.py
@@ -400,7 +400,7 @@
         return used - recent_usage + tokens + recent_usage * factor
 
     def _admit_limit(self, organisation: Organisation, seconds: float) -> float:
-        """Return the number of tokens that may be admitted within some seconds."""
+        """Return the number of tokens that may be admitted within a number of seconds."""
         fraction = BURST_FRACTION + (1 - BURST_FRACTION) * min(
             seconds / self._window_s, 1.0
         )
