--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -40,7 +40,8 @@
 
 def test_timeline_has_own_lines_and_related_lines_of_the_same_daemon() -> None:
     timeline = story(read_lines(LOG), "r-1")
-    assert [(row.event, row.rid) for row in timeline] == [
+    events = [(row.event, row.rid) for row in timeline]
+    assert events == [
         (Event.PEER_DOWN, ""),
         (Event.ATTEMPT_ENDED, "other"),
         (Event.ATTEMPT_ENDED, "r-1"),
