--- a/dockreach/editing.py
+++ b/dockreach/editing.py
@@ -76,7 +76,7 @@
     """
     declarations = parse(changed, path.name)
     if in_force >= declarations.revision:
-        problem = f"the fleet is at revision {in_force}; this file is older: pull it first"
+        problem = f"the fleet has revision {in_force}; this file is older: pull it first"
         raise RevisionError(problem)
     lock = path.with_suffix(path.suffix + ".lock")
     try:
--- a/dockreach/served_worth.py
+++ b/dockreach/served_worth.py
@@ -1,8 +1,9 @@
 """The worth of a service to its callers: a score of 1 if all were served in time.
 
 The score counts from a caller's first attempt: a refusal that is followed by a successful
-retry gains nothing by itself. Losses are the time that a request waits in vain, in
-proportion to that time, and each retry that fails or is refused again.
+retry gains nothing by itself. A late response is worth a fraction of one in time. Further
+losses are the time that a request waits in vain, in proportion to that time, and each retry
+that fails or is refused again.
 """
 
 from __future__ import annotations
