--- a/dockreach/agent.py
+++ b/dockreach/agent.py
@@ -1,4 +1,7 @@
-"""The agent's tick: all systems in order, over all messages that have come."""
+"""The agent's tick: applies all received messages, then runs all systems in order.
+
+A system is a function that reads and changes the agent's tables.
+"""
 
 from __future__ import annotations
 
@@ -11,17 +14,17 @@
 from .messages import AnyMessage
 
 Inbox = Sequence[tuple[str, object]]
-"""Messages with the peer that sent each; an empty peer is the agent's own adapter."""
+"""Messages, each with the peer that sent it; the agent's own adapter is the empty peer."""
 
 System = Callable[[AgentWorld], None]
 
 
 class AgentOutput(NamedTuple):
-    """What one tick wants done.
+    """Messages to send and engine actions to carry out after one tick.
 
     Attributes:
-        messages: Messages to send, with their peers.
-        actions: What to tell the engine.
+        messages: Messages to send, each with the receiving peer.
+        actions: What to do at the engine.
     """
 
     messages: list[tuple[str, AnyMessage]]
@@ -29,7 +32,7 @@
 
 
 def forget(world: AgentWorld) -> None:
-    """System: drop rows whose retention has ended."""
+    """System: delete rows whose retention time is over."""
     while world.forget and world.forget[0][0] <= world.now:
         _, table, key = heapq.heappop(world.forget)
         if table == "runs":
@@ -70,11 +73,11 @@
 
     Args:
         world: The agent's tables.
-        inbox: All messages that came since the last tick.
-        now: The clock, in seconds.
+        inbox: All messages received since the last tick.
+        now: The agent's clock, in seconds.
 
     Returns:
-        Messages and engine actions, in the order they were decided.
+        Messages and engine actions, in the order in which the systems produced them.
     """
     world.now = now
     for peer, message in inbox:
@@ -90,7 +93,7 @@
 
 
 def next_wake(world: AgentWorld) -> float | None:
-    """Return when the next tick is due if no message comes; ``None`` for never."""
+    """Return when the next tick is due if no message arrives; ``None`` for never."""
     times = [row.expires for row in world.grants.values()]
     if world.paused:
         times.append(world.paused[0][0])
--- a/dockreach/agent_node.py
+++ b/dockreach/agent_node.py
@@ -1,4 +1,7 @@
-"""The agent daemon: the core of `agent` between entries and one endpoint."""
+"""The agent daemon: runs beside one endpoint and connects it to the entries.
+
+The decisions are made by the core in `agent`; this module does the input and output.
+"""
 
 from __future__ import annotations
 
@@ -33,10 +36,10 @@
 from .settings import Settings
 
 REBUILD_MARGIN_S = 0.5
-"""Time, beyond a grant's lease, before a fresh owner asks its peers for its keys.
+"""Time added to a grant's lease before a restarted key owner rebuilds its claims.
 
-Every grant that was bound in its earlier life has then ended, so that a commit which is
-still on its way can no longer run.
+By then every grant that its previous incarnation bound has expired, so a commit that is
+still in transit can no longer run.
 """
 
 WAIT_DECLARATIONS_S = 0.05
@@ -51,7 +54,7 @@
     """One agent daemon.
 
     Args:
-        settings: The checked settings; the role is ``agent``.
+        settings: The validated settings; the role is ``agent``.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -83,11 +86,11 @@
         )
 
     def tables(self) -> AgentWorld:
-        """Return the core's tables."""
+        """Return the tables of the core."""
         return self.world
 
     def start(self) -> None:
-        """Run the core and the helpers of the adapter."""
+        """Start the core and the background tasks of the adapter."""
         super().start()
         _green.spawn(self._rebuild)
         _green.spawn(self._probe)
@@ -95,7 +98,7 @@
         _green.spawn(self._give_orders)
 
     def on_tick(self, inbox: list[tuple[str, object]], now: float) -> float | None:
-        """Run the core's tick; send what it says and act on the endpoint."""
+        """Run one tick of the core; send its messages and carry out its actions."""
         self.world.drained = self._declared_drained or not self.is_settled()
         output = tick(self.world, inbox, now)
         for peer, message in output.messages:
@@ -107,12 +110,12 @@
         return next_wake(self.world)
 
     def on_pause(self, seconds: float) -> None:
-        """Void what was granted before the pause; the clock has moved past it."""
+        """Discard the grants made before the process was paused; they may have expired."""
         super().on_pause(seconds)
         self.world.grants.clear()
 
     def on_declarations(self, declarations: Declarations) -> None:
-        """Adopt what is declared of this endpoint."""
+        """Apply the declared settings of this endpoint."""
         declared = declarations.endpoints.get(self.name)
         if declared is None:
             self._declared_drained = True
@@ -137,23 +140,23 @@
         )
 
     def on_peer_up(self, hello: Hello) -> None:
-        """Tell the core that an entry is linked."""
+        """Report to the core that the link to an entry is up."""
         message = PeerUp(hello.role, hello.incarnation, hello.age_ms / 1000)
         self.ticker.put(hello.peer, message)
 
     def on_peer_down(self, name: str, role: str) -> None:
-        """Tell the core that an entry was lost."""
+        """Report to the core that the link to an entry was lost."""
         del role
         self.ticker.put(name, PeerDown())
 
     def on_vms(self) -> None:
-        """Stop taking work when the platform says that this VM leaves."""
+        """Stop accepting work when the platform reports that this VM is leaving."""
         row = self.vm_of(self.name)
         if row is not None and row.state == "leaving":
             self.leave()
 
     def leave(self) -> None:
-        """Take no new work; what runs goes on."""
+        """Accept no new work; current runs continue."""
         if self.leaving:
             return
         self.leaving = True
@@ -162,7 +165,7 @@
         self.announce()
 
     def drained(self) -> bool:
-        """Return whether no run is left, and every reader has its answer."""
+        """Return whether no run is left and the end of each was sent to all its readers."""
         world = self.world
         if world.grants or any(run.end is None for run in world.runs.values()):
             return False
@@ -173,9 +176,9 @@
         )
 
     def _act(self, action: EngineAction) -> None:
-        """Carry out what the core decided; runs in a greenlet of its own."""
+        """Carry out one action of the core, in its own greenlet."""
         while (endpoint := self._endpoint) is None:
-            # A fresh agent may be asked about a run before it has its declarations.
+            # A restarted agent may be asked about a run before it has its declarations.
             _green.sleep(WAIT_DECLARATIONS_S)
         if isinstance(action, StartRun):
             self._dispatch(endpoint, action)
@@ -183,13 +186,17 @@
             endpoints.cancel(endpoint, action.rid)
         elif isinstance(action, ResumeRun):
             found = endpoints.resume(endpoint, action.rid)
-            answer = EngineResumed(action.rid, action.entry, found, action.from_chunk)
-            self._sink(answer)
+            message = EngineResumed(action.rid, action.entry, found, action.from_chunk)
+            self._sink(message)
 
     def _dispatch(
         self, endpoint: endpoints.OpenAiEngine | endpoints.PlainService, start: StartRun
     ) -> None:
-        """Dispatch a run, unless the process was stopped since it was committed."""
+        """Dispatch a run, unless the process was paused for too long after the commit.
+
+        A run not dispatched within `AgentPolicy.max_dispatch_delay_s` is reported as
+        not run.
+        """
         rid = start.commit.rid
         run = self.world.runs.get(rid)
         if run is None or run.end is not None:
@@ -217,7 +224,10 @@
         self.ticker.put("", None)
 
     def _probe(self) -> None:
-        """Measure a slow engine again while it has no runs to be measured by."""
+        """Check an unreachable engine, and measure a slow one that is idle.
+
+        An idle engine has no runs from which its speed could be measured.
+        """
         while True:
             _green.sleep(PROBE_EVERY_S)
             model = self.world.model
@@ -241,20 +251,20 @@
                 self._sink(event)
 
     def _give_orders(self) -> None:
-        """Order the endpoint to load what is declared, when its turn has come."""
+        """Order the endpoint to load what is declared, once its load is due."""
         while True:
             _green.sleep(ORDER_EVERY_S)
             endpoint = self._endpoint
             if endpoint is None or self._orders.due is None:
                 continue
             state = endpoints.loaded(endpoint)
-            # Checked right before the call: the endpoint itself may not check.
+            # Readiness is checked right before the call: not every endpoint checks fences.
             if state is None or not self.is_ready():
                 continue
             order = self._orders.next_order(state, clock.now())
             if order is not None:
-                taken = endpoints.give(endpoint, order)
-                event = Event.ORDER_GIVEN if taken else Event.ORDER_REFUSED
+                accepted = endpoints.give(endpoint, order)
+                event = Event.ORDER_GIVEN if accepted else Event.ORDER_REFUSED
                 log(event, version=order.version, fence=str(order.fence))
 
     def _metrics_page(self) -> tuple[bytes, str]:
--- a/dockreach/agent_tables.py
+++ b/dockreach/agent_tables.py
@@ -1,7 +1,8 @@
-"""The tables of an agent, and what its systems tell the outside to do.
+"""The tables of an agent, its messages with the adapter, and its engine actions.
 
-The tables hold all state of the agent's decisions. Systems change them; they read no
-clock and do no input or output. Times are seconds on the agent's clock.
+The tables hold all state that the agent's decisions depend on. Systems (functions over
+the tables) change them; they read no clock and do no input or output. Times are seconds
+on the agent's clock.
 """
 
 from __future__ import annotations
@@ -23,16 +24,21 @@
 
 @dataclass(slots=True)
 class AgentPolicy:
-    """Limits and times of an agent. Seconds, bytes or counts.
+    """Limits and timeouts of an agent, in seconds, bytes or counts.
 
     Attributes:
-        grant_lease_s: How long a grant may be used.
-        queue_limit: Holds kept; beyond it the lowest tier's newest is displaced.
-        short_cost: Cost up to which a request counts as short; see `Hold.cost`.
-        retention_s: How long runs, claims and tombstones are remembered.
-        answer_bytes: Memory for kept answers; the oldest ended ones go first.
-        reader_window: Bytes sent to an entry ahead of its acknowledgement.
-        strict_dispatch_s: Time from commit to dispatch beyond which it is undone.
+        grant_lease_s: How long a grant is valid.
+        queue_limit: Maximum number of queued holds; beyond it the newest hold of the
+            lowest tier is displaced.
+        short_cost: Maximum cost of a short request; see `Hold.cost`.
+        retention_s: How long ended runs, claims and fences are kept.
+        answer_bytes: Memory for stored answers; those that ended first are dropped first.
+        reader_window: Bytes sent to an entry beyond those that it has acknowledged.
+        strict_dispatch_s: Maximum time from commit to dispatch; a later run is not
+            dispatched.
+        decline_pause_s: Delay before a declined hold is queued again; it doubles with
+            each decline.
+        orphan_s: How long a run without readers continues at least.
     """
 
     grant_lease_s: float = 1.0
@@ -48,7 +54,7 @@
 
 @dataclass(slots=True)
 class GrantRow:
-    """Room promised to one hold."""
+    """A grant: a slot reserved for one hold until the lease expires."""
 
     hold: Hold
     number: int
@@ -58,7 +64,13 @@
 
 @dataclass(slots=True)
 class Reader:
-    """An entry that takes a run's chunks; both numbers count chunks."""
+    """How far a run's answer was delivered to one entry.
+
+    Attributes:
+        sent: Number of chunks sent.
+        acked: Number of chunks acknowledged by the entry.
+        told_end: Whether the end of the run was sent.
+    """
 
     sent: int = 0
     acked: int = 0
@@ -67,12 +79,13 @@
 
 @dataclass(slots=True)
 class RunRow:
-    """A request that was committed here.
+    """A request that was committed to this agent.
 
     Attributes:
-        chunks: Chunks kept, the first of which has number `base`.
-        kept_bytes: Bytes of the kept chunks.
-        ahead: Chunks that came out of order, by number.
+        chunks: Stored chunks of the answer; the first one has number `first_kept`.
+        kept_bytes: Size of the stored chunks.
+        ahead: Chunks received out of order, by number.
+        orphaned: When the last reader was lost; ``None`` while there is one.
     """
 
     rid: str
@@ -91,18 +104,21 @@
 
     @property
     def next_chunk(self) -> int:
-        """Number of the chunk expected next from the engine."""
+        """Return the number of the next chunk expected from the engine."""
         return self.base + len(self.chunks)
 
 
 @dataclass(slots=True)
 class ClaimRow:
-    """What this agent, as owner of a key, knows of it.
+    """The claim on an idempotency key that this agent owns.
 
     Attributes:
-        ran: Whether the bound agent itself said that it ran the request.
-        others: Further agents that entries committed the request to, known after a
-            restart; each must be refuted before the key is free.
+        state: The current claim, and the agent bound to the key, if any.
+        entry: The entry that made the claim; empty if it was rebuilt from a peer.
+        ran: Whether the bound agent itself reported that it ran the request.
+        others: Further agents that entries committed the request to, known from a
+            rebuild; each must be refuted (proved not to have run the request) before
+            the key is free again.
     """
 
     state: ClaimState
@@ -114,7 +130,14 @@
 
 @dataclass(slots=True)
 class Rebuild:
-    """Progress of an owner that restarted and asks its peers for its keys."""
+    """Progress of a restarted key owner that asks its peers for its claims.
+
+    Attributes:
+        waiting: Entries that have not answered completely.
+        silent: Agents that no entry could ask.
+        young_entries: Whether an entry started less than the retention time ago.
+        done: Whether all linked entries have answered.
+    """
 
     waiting: set[str]
     silent: set[str] = field(default_factory=set)
@@ -123,7 +146,7 @@
 
 
 class StartRun(NamedTuple):
-    """Dispatch a request to the engine."""
+    """Engine action: dispatch a request."""
 
     commit: Commit
     tier: int
@@ -131,13 +154,13 @@
 
 
 class CancelRun(NamedTuple):
-    """Cancel a run at the engine."""
+    """Engine action: cancel a run."""
 
     rid: str
 
 
 class ResumeRun(NamedTuple):
-    """Look a run of an earlier agent up at the engine and take it over."""
+    """Engine action: look up a run of an earlier incarnation and take it over."""
 
     rid: str
     entry: str
@@ -148,13 +171,13 @@
 
 
 class EngineChunk(msgspec.Struct, frozen=True):
-    """Engine adapter to core: a numbered piece of an answer."""
+    """Engine adapter to core: one numbered chunk of an answer."""
 
     chunk: Chunk
 
 
 class EngineEnded(msgspec.Struct, frozen=True):
-    """Engine adapter to core: no more chunks will come."""
+    """Engine adapter to core: the run has ended; no more chunks follow."""
 
     rid: str
     whole: bool
@@ -165,10 +188,10 @@
 
 
 class EngineNotRun(msgspec.Struct, frozen=True):
-    """Engine adapter to core: proof that the engine did not take the request.
+    """Engine adapter to core: proof that the engine did not run the request.
 
     Attributes:
-        unreachable: Whether nobody listened at the engine's address.
+        unreachable: Whether no process listened at the engine's address.
     """
 
     rid: str
@@ -176,11 +199,11 @@
 
 
 class EngineReachable(msgspec.Struct, frozen=True):
-    """Engine adapter to core: an engine that was out of reach answers again."""
+    """Engine adapter to core: an unreachable engine accepts connections again."""
 
 
 class EngineResumed(msgspec.Struct, frozen=True):
-    """Engine adapter to core: whether the engine knows an earlier agent's run."""
+    """Engine adapter to core: whether the engine knows a run of an earlier incarnation."""
 
     rid: str
     entry: str
@@ -197,14 +220,14 @@
 
 
 class ProbeSample(msgspec.Struct, frozen=True):
-    """Engine adapter to core: speed measured by a probe; ``None`` if it failed."""
+    """Engine adapter to core: speed measured by a probe; ``None`` where not measured."""
 
     prefill_rate: float | None
     gap: float | None
 
 
 class PeerUp(msgspec.Struct, frozen=True):
-    """Link to core: a peer said hello."""
+    """Link to core: the link to a peer is up."""
 
     role: str
     incarnation: int
@@ -217,7 +240,7 @@
 
 @dataclass(slots=True)
 class AgentCounters:
-    """Monotone counts for metrics."""
+    """Monotonic counters; each is exported as a metric under its field name."""
 
     holds: int = 0
     grants: int = 0
@@ -236,7 +259,21 @@
 
 @dataclass(slots=True)
 class AgentWorld:
-    """All tables of one agent."""
+    """All tables of one agent.
+
+    Attributes:
+        holds: Holds by request id, queued, paused or granted.
+        last_seen: When the last hold of each tier and lane was received.
+        unanswered: New holds whose entry has neither an offer nor a grant yet.
+        paused: Declined holds that wait to be queued again, ordered by time (a heap).
+        fences: The highest fenced grant number of each request; no grant up to it runs.
+        forget: Rows to delete, as expiry time, table and key (a heap).
+        ended_order: Ids of the ended runs, the oldest first.
+        fresh: Ids of the runs that have something to deliver.
+        entries: Incarnation of each entry that has linked.
+        floor_tier: Lowest tier accepted until `floor_until`; ``None`` for all.
+        floor_by: The peer that sent the floor.
+    """
 
     name: str
     incarnation: int
@@ -277,32 +314,32 @@
     actions: list[EngineAction] = field(default_factory=list)
 
     def send(self, peer: str, message: AnyMessage) -> None:
-        """Queue a message for a peer; it leaves at the end of the tick."""
+        """Queue a message for a peer; it is sent at the end of the tick."""
         self.outbox.append((peer, message))
 
     def remember_until(self, table: str, key: str) -> None:
-        """Schedule a row to be forgotten after the retention time."""
+        """Schedule a row for deletion after the retention time."""
         heapq.heappush(self.forget, (self.now + self.policy.retention_s, table, key))
 
     def fence(self, rid: str, number: int) -> None:
-        """Make sure that no grant of a request up to `number` will ever run."""
+        """Fence a request: no grant of it with a number up to `number` may ever run."""
         if number > self.fences.get(rid, -1):
             self.fences[rid] = number
             self.remember_until("fences", rid)
 
     @property
     def closed(self) -> bool:
-        """Whether no new work may start here."""
+        """Return whether no new work may start here."""
         return self.leaving or self.drained or self.unreachable
 
     @property
     def active(self) -> int:
-        """Slots in use: dispatched runs and outstanding grants."""
+        """Return the number of slots in use by dispatched runs and outstanding grants."""
         return len(self.model.runs) + len(self.grants)
 
 
 @singledispatch
 def receive(message: object, world: AgentWorld, peer: str) -> None:
-    """Apply one message to the tables; one without a handler is counted."""
+    """Apply one message to the tables; messages without a handler are only counted."""
     del message, peer
     world.counters.unknown_messages += 1
--- a/dockreach/capacity.py
+++ b/dockreach/capacity.py
@@ -1,8 +1,9 @@
-"""What an agent knows of its engine's speed and room, by its own measurement.
+"""Speed and concurrency of an engine, as measured by its agent.
 
-Declared rates are only the start. Prefill rate and token gap follow what the engine
-really does; the window (requests at once) shrinks while tokens come too slowly and
-grows back by one a second. Nothing here reads the engine's own, lagging load report.
+The declared rates are only the initial values. Prefill rate and token gap (time between
+two tokens of a request) follow the measurements. The window (the number of requests run
+at once) shrinks while tokens arrive too slowly and grows back by one a second. The
+engine's own load report is not used, because it lags behind.
 """
 
 from __future__ import annotations
@@ -11,35 +12,41 @@
 from dataclasses import dataclass, field
 
 GAIN = 0.2
-"""Weight of a new sample in a moving average."""
+"""Weight of a new sample in an exponentially weighted mean."""
 
 SLOW_FACTOR = 1.5
-"""A token gap above this multiple of the objective shrinks the window."""
+"""Multiple of the objective gap above which the window shrinks."""
 
 SHRINK = 0.7
+"""Factor by which the window shrinks."""
+
 ADJUST_EVERY_S = 1.0
 SUSPECT_AFTER_S = 0.75
-"""Silence of a busy engine, beyond what is expected, after which it gets no grants."""
+"""Minimum time without progress after which a busy engine gets no grants."""
 
 SUSPECT_FACTOR = 4.0
+"""Multiple of the expected time to progress after which a busy engine gets no grants."""
+
 MIN_PREFILL_SAMPLE_TOKENS = 64
 RESERVE_FRACTION = 0.2
-"""Part of the window kept for short requests, and again for the top tier."""
+"""Fraction of the window reserved for short requests, and again for higher tiers."""
 
 RESERVE_FROM_SLOTS = 4
+"""Minimum slots and window size with which slots are reserved."""
+
 SAFETY = 1.1
-"""Margin on a corrected estimate before work is called hopeless."""
+"""Safety factor on an estimate, already scaled by past lateness, before rejecting early."""
 
 LATENESS_CAP = 4.0
 DEGRADED_FACTOR = 3.0
-"""An idle engine measured this much slower than declared is probed."""
+"""An idle engine is probed if it is slower than declared by this factor."""
 
 
 class DrainRate:
-    """How fast the holds of each tier leave the queue because they are served.
+    """Rate at which the holds of each tier leave the queue because they are served.
 
-    A pool's holds stand in several agents' queues at once, so what leaves one queue,
-    granted here or elsewhere, shows the whole pool's speed.
+    The holds of a pool are queued at several agents at once, so the rate at which they
+    leave one queue, served here or elsewhere, measures the whole pool.
     """
 
     def __init__(self) -> None:
@@ -47,18 +54,18 @@
         self._since: dict[int, float] = {}
 
     def served(self, tier: int, now: float) -> None:
-        """Record that a hold of a tier was granted, here or elsewhere."""
+        """Record that a hold of a tier was committed, here or at another agent."""
         self._served.setdefault(tier, deque(maxlen=DRAIN_SAMPLES)).append(now)
 
     def waiting(self, tier: int, count: int, now: float) -> None:
-        """Record how many holds of a tier wait, to know since when it queues."""
+        """Record the number of queued holds of a tier, and since when there are any."""
         if count == 0:
             self._since.pop(tier, None)
         else:
             self._since.setdefault(tier, now)
 
     def wait_s(self, tier: int, count: int, now: float) -> float:
-        """Return the expected wait behind so many holds of a tier; 0 if unknown."""
+        """Return the expected wait behind `count` holds of a tier; 0 if unknown."""
         since = self._since.get(tier)
         if since is None or now - since < DRAIN_WINDOW_S:
             return 0.0
@@ -68,12 +75,19 @@
 
 
 DRAIN_WINDOW_S = 4.0
+"""Period over which the drain rate is measured."""
+
 DRAIN_SAMPLES = 4096
 
 
 @dataclass(slots=True)
 class Progress:
-    """One run's progress, as far as the speed model needs it. Times in seconds."""
+    """Progress of one run. Times in seconds.
+
+    Attributes:
+        backlog_tokens: Tokens to prefill up to and including this run's at its start.
+        estimate_s: Estimated duration at its start.
+    """
 
     started: float
     uncached_tokens: int
@@ -87,14 +101,18 @@
 
 @dataclass(slots=True)
 class EngineModel:
-    """Measured speed and room of one engine.
+    """Measured speed and concurrency of one engine.
 
     Attributes:
-        slots: Requests that the engine takes at once, as declared.
-        prefill_rate: Prompt tokens a second.
+        slots: Declared number of requests that the engine runs at once.
+        prefill_rate: Prompt tokens per second.
         gap: Seconds between two tokens of one request.
         objective_gap: Gap above which the window shrinks, in seconds.
-        lateness: How much longer answers took than was estimated when they started.
+        window: Number of requests to run at once, at most `slots`.
+        output_ratio: Mean ratio of generated tokens to those expected.
+        lateness: Mean ratio of a run's duration to its estimate.
+        service_s: Mean duration of a run.
+        backlog: Prompt tokens dispatched and not yet prefilled.
     """
 
     slots: int
@@ -119,7 +137,7 @@
         self.window = float(self.slots)
 
     def prefill_s(self, uncached_tokens: int) -> float:
-        """Return the time to a first token, behind the prefill already dispatched."""
+        """Return the expected time to the first token, after the prefill backlog."""
         return (self.backlog + uncached_tokens) / self.prefill_rate
 
     def decode_s(self, output_tokens: int) -> float:
@@ -127,12 +145,12 @@
         return output_tokens * self.output_ratio * self.gap
 
     def wait_s(self, ahead: int, free: int) -> float:
-        """Return the expected wait with so many holds ahead."""
-        waiting = max(0, ahead + 1 - free)
-        return waiting * self.service_s / max(1.0, self.window)
+        """Return the expected wait with `ahead` holds ahead and `free` free slots."""
+        queued = max(0, ahead + 1 - free)
+        return queued * self.service_s / max(1.0, self.window)
 
     def reserve(self) -> int:
-        """Return the slots that one kind of request leaves free for another."""
+        """Return the number of slots reserved for one kind of request."""
         if self.slots < RESERVE_FROM_SLOTS or self.window < RESERVE_FROM_SLOTS:
             return 0
         return max(1, int(self.window * RESERVE_FRACTION))
@@ -141,14 +159,14 @@
         """Record a dispatch."""
         if not self.runs:
             self.last_progress = now
-        estimate = self.prefill_s(uncached_tokens) + self.decode_s(output_tokens)
+        estimate_s = self.prefill_s(uncached_tokens) + self.decode_s(output_tokens)
         self.backlog += uncached_tokens
         run = Progress(now, uncached_tokens, output_tokens, self.backlog)
-        run.estimate_s = estimate
+        run.estimate_s = estimate_s
         self.runs[rid] = run
 
     def progress(self, rid: str, tokens: int, now: float) -> None:
-        """Record tokens that arrived."""
+        """Record tokens received from the engine."""
         self.last_progress = now
         run = self.runs.get(rid)
         if run is None:
@@ -177,12 +195,12 @@
             self.service_s += GAIN * (now - run.started - self.service_s)
 
     def suspect(self, now: float) -> bool:
-        """Return whether a busy engine has been silent for too long."""
+        """Return whether a busy engine has made no progress for too long."""
         if not self.runs:
             return False
-        expected = max(self.gap, self.backlog / self.prefill_rate)
-        limit = max(SUSPECT_AFTER_S, SUSPECT_FACTOR * expected)
-        return now - self.last_progress > limit
+        expected_s = max(self.gap, self.backlog / self.prefill_rate)
+        limit_s = max(SUSPECT_AFTER_S, SUSPECT_FACTOR * expected_s)
+        return now - self.last_progress > limit_s
 
     def degraded(self) -> bool:
         """Return whether the engine is much slower than declared."""
@@ -191,7 +209,7 @@
         return slow_decode or slow_prefill
 
     def adjust(self, now: float) -> None:
-        """Move the window towards what the engine carries; at most once a second."""
+        """Adapt the window to the speed of the engine, at most once a second."""
         if now - self.adjusted < ADJUST_EVERY_S:
             return
         self.adjusted = now
@@ -205,7 +223,7 @@
         self.lateness += GAIN * (min(ratio, LATENESS_CAP) - self.lateness)
 
     def safe_s(self, estimate_s: float) -> float:
-        """Return an estimate with the margin by which earlier ones fell short."""
+        """Return an estimate scaled by the lateness of earlier ones and a safety factor."""
         return estimate_s * max(1.0, self.lateness) * SAFETY
 
     def _first_token(self, run: Progress, now: float) -> None:
@@ -213,7 +231,7 @@
         self.backlog -= run.uncached_tokens
         elapsed = now - run.started - self.gap
         if run.backlog_tokens >= MIN_PREFILL_SAMPLE_TOKENS and elapsed > 0:
-            fastest = 1 / (4 * self.declared_prefill_rate)
-            sample = max(fastest, elapsed / run.backlog_tokens)
+            min_sample = 1 / (4 * self.declared_prefill_rate)
+            sample = max(min_sample, elapsed / run.backlog_tokens)
             mean = 1 / self.prefill_rate
             self.prefill_rate = 1 / (mean + GAIN * (sample - mean))
--- a/dockreach/claims.py
+++ b/dockreach/claims.py
@@ -1,8 +1,10 @@
-"""Agent systems that own idempotency keys: at most one agent is bound to each.
+"""Agent systems that own idempotency keys: at most one agent is bound to each key.
 
-The owner of a key is chosen by rendezvous over the declared endpoints, so every entry
-asks the same one. It keeps its claims in memory. After a restart it asks its peers
-what they ran or committed, and answers no claim before they have told.
+An entry claims the key of a request at the key's owner before it places the request, and
+binds the key to one agent before it commits. The owner is chosen by rendezvous hashing
+over the declared endpoints, so every entry asks the same one. It keeps its claims in
+memory. After a restart it asks its peers what they ran or committed (a rebuild), and
+answers no claim before they have replied.
 """
 
 from __future__ import annotations
@@ -21,7 +23,7 @@
 )
 
 KEYED_MARK = "k-"
-"""Prefix of the request id of a request that has an idempotency key."""
+"""Prefix of the ids of requests with an idempotency key."""
 
 
 def is_keyed(rid: str) -> bool:
@@ -30,11 +32,11 @@
 
 
 NUMBERS_PER_LIFE = 1 << 20
-"""Claim numbers that one incarnation may give out before another's begin."""
+"""Number of claim numbers reserved for each incarnation of an owner."""
 
 
 def next_number(world: AgentWorld) -> int:
-    """Return a claim number that no incarnation of this owner has given out."""
+    """Return a claim number that no incarnation of this owner has used before."""
     world.claim_number += 1
     return world.incarnation * NUMBERS_PER_LIFE + world.claim_number
 
@@ -61,7 +63,7 @@
 
 
 def _supersede(world: AgentWorld, row: ClaimRow, message: Claim, peer: str) -> None:
-    """Let a later try take over a key that is bound to no agent."""
+    """Give the claim to a later attempt, because no agent is bound or it was refuted."""
     if row.entry not in ("", peer):
         world.send(row.entry, BindReply(rid=message.rid, ok=False))
     row.state = ClaimState(number=next_number(world), digest=message.digest)
@@ -99,7 +101,7 @@
 
 @receive.register
 def _(message: RebuildAsk, world: AgentWorld, peer: str) -> None:
-    """Tell a restarted owner, through the asking entry, which keys ran here."""
+    """Report to a restarted owner, through the asking entry, which keys ran here."""
     runs = tuple(
         KnownRun(rid, world.name, world.incarnation, ran=True)
         for rid in world.runs
@@ -128,7 +130,10 @@
 
 
 def _learn(world: AgentWorld, known: KnownRun) -> None:
-    """Take over what a peer knows; what an agent ran goes before what was committed."""
+    """Merge a run that a peer knows of into the claims.
+
+    What an agent reports as run takes precedence over what an entry committed.
+    """
     row = world.claims.get(known.rid)
     if row is not None and (row.ran or row.entry):
         return
@@ -137,13 +142,13 @@
         world.claims[known.rid] = ClaimRow(state, "", world.now, ran=known.ran)
         world.remember_until("claims", known.rid)
         return
-    places = {(item.agent, item.incarnation) for item in [row.state, *row.others]}
-    if (known.agent, known.incarnation) not in places:
+    known_bindings = {(item.agent, item.incarnation) for item in [row.state, *row.others]}
+    if (known.agent, known.incarnation) not in known_bindings:
         row.others.append(state)
 
 
 def begin_rebuild(world: AgentWorld) -> None:
-    """Start asking the entries that are linked now; called once links are up."""
+    """Start a rebuild: ask all linked entries. Called once links are up."""
     world.rebuild = Rebuild(waiting=set(world.entries))
     ask = RebuildAsk(owner=world.name, incarnation=world.incarnation)
     for entry in world.entries:
@@ -151,7 +156,7 @@
 
 
 def note_entry(world: AgentWorld, peer: str, hello: PeerUp) -> None:
-    """Ask an entry that links later, too, and note one that is itself young."""
+    """Ask an entry that links after the rebuild began, and record a recent start of it."""
     rebuild = world.rebuild
     if rebuild is None:
         return
@@ -163,7 +168,7 @@
 
 
 def finish_rebuild(world: AgentWorld) -> None:
-    """System: once all linked entries have told, answer the claims that waited."""
+    """System: answer the deferred claims once all linked entries have replied."""
     rebuild = world.rebuild
     if rebuild is None or rebuild.done:
         return
@@ -171,9 +176,9 @@
     if rebuild.waiting:
         return
     rebuild.done = True
-    waiting: list[tuple[str, AnyMessage]] = world.deferred_claims
+    deferred: list[tuple[str, AnyMessage]] = world.deferred_claims
     world.deferred_claims = []
-    for peer, message in waiting:
+    for peer, message in deferred:
         receive(message, world, peer)
 
 
@@ -182,11 +187,12 @@
 
 
 def may_have_forgotten(world: AgentWorld) -> bool:
-    """Return whether a key unknown here may still have been bound by a lost owner.
+    """Return whether a previous incarnation may have bound a key that is unknown here.
 
-    The owner's earlier life is lost, so both other witnesses count: the agents that
-    ran and the entries that committed. Only if some of each are missing too can a
-    run have left no trace.
+    The state of that incarnation is lost, but the agents that ran requests and the
+    entries that committed them still know. A run can be unknown to all only if some of
+    each are missing too: agents that could not be asked, and entries that have started
+    within the retention time.
     """
     if world.now - world.started > world.policy.retention_s:
         return False
--- a/dockreach/commitment.py
+++ b/dockreach/commitment.py
@@ -1,7 +1,8 @@
-"""Entry systems that commit a request to one agent, and find out what became of it.
+"""Entry systems that commit a request to one agent and determine its outcome.
 
-A request is dispatched again only after a proof that it was not run: a `Refused`, or a
-`FenceReply` with the verdict `NOT_RUN`, for the grant that was committed.
+A commit sends the request to the agent whose grant was chosen. The request is dispatched
+again only after a proof that it was not run: a `Refused`, or a `FenceReply` with the
+verdict `NOT_RUN`, for the grant that was committed.
 """
 
 from __future__ import annotations
@@ -31,10 +32,10 @@
 
 
 def decide(world: EntryWorld) -> None:
-    """System: choose among the grants of the requests that something happened to."""
-    undecided = world.undecided
+    """System: choose a grant for each request whose holds or claim have changed."""
+    changed_rids = world.undecided
     world.undecided = set()
-    for rid in undecided:
+    for rid in changed_rids:
         req = world.requests.get(rid)
         if req is None or req.phase is not Phase.WAITING or not req.grants:
             continue
@@ -107,7 +108,7 @@
         follow(world, req, message.state)
         return
     if not message.certain:
-        detail = "the owner of this key lost its memory; an earlier try may have run"
+        detail = "the owner of this key lost its state; an earlier attempt may have run"
         refusal = Refusal(Verdict.MAY_HAVE_RUN, Reason.CLAIM_UNCERTAIN, detail, 5.0)
         shedding.finish(world, req, refusal)
         return
@@ -117,7 +118,7 @@
 
 
 def follow(world: EntryWorld, req: RequestRow, state: ClaimState) -> None:
-    """Attach to the agent that an earlier try of this request was bound to."""
+    """Attach to the agent that an earlier attempt of this request was bound to."""
     placement.withdraw_all(world, req)
     world.leave_waiting(req)
     req.claim = None
@@ -125,12 +126,15 @@
     req.agent = state.agent
     req.incarnation = state.incarnation
     req.number = 0
-    world.note(req, "follow", state.agent, "an earlier try is bound there")
+    world.note(req, "follow", state.agent, "an earlier attempt is bound there")
     attach(world, req)
 
 
 def attach(world: EntryWorld, req: RequestRow) -> None:
-    """Ask the bound agent for the answer from the next chunk on, or for a verdict."""
+    """Ask the bound agent for the answer from the next chunk on, or for a verdict.
+
+    If the agent is not linked, the outcome is unclear for now.
+    """
     row = world.agents.get(req.agent)
     world.at_agent.setdefault(req.agent, set()).add(req.rid)
     if row is None or not row.linked:
@@ -192,7 +196,7 @@
     if message.state.agent:
         follow(world, req, message.state)
         return
-    detail = "a later try of this request took its place"
+    detail = "a later attempt of this request superseded it"
     refusal = Refusal(Verdict.MAY_HAVE_RUN, Reason.SUPERSEDED, detail, 1.0)
     shedding.finish(world, req, refusal)
 
@@ -220,12 +224,12 @@
         place_again(world, req, Reason.FENCED)
     else:
         verdict = shedding.committed_verdict(req)
-        detail = f"the agent of {req.agent} was replaced and its engine knows nothing"
+        detail = f"the agent of {req.agent} restarted and its engine has no such run"
         shedding.finish(world, req, Refusal(verdict, Reason.AGENT_RESTARTED, detail))
 
 
 def place_again(world: EntryWorld, req: RequestRow, reason: Reason) -> None:
-    """Put a request that is proved not run back among the waiting ones."""
+    """Place a request again, after a proof that it was not run."""
     if req.first_chunk is not None:
         shedding.finish(world, req, Refusal(Verdict.RAN, reason, "", 1.0))
         return
@@ -258,7 +262,7 @@
 
 
 def make_unclear(world: EntryWorld, req: RequestRow) -> None:
-    """Wait a little for a committed agent that is out of reach."""
+    """Wait `unclear_s` for an unreachable agent to which a request was committed."""
     req.phase = Phase.UNCLEAR
     req.unclear_until = world.now + world.policy.unclear_s
     world.note(req, "unclear", req.agent)
--- a/dockreach/endpoints.py
+++ b/dockreach/endpoints.py
@@ -1,7 +1,8 @@
-"""Adapters between an agent and the endpoint beside it, one for each kind.
+"""Adapters between an agent and the endpoint beside it, one for each kind of endpoint.
 
-An adapter dispatches a run and reports what comes back as core messages. It never
-repeats a dispatch. Another engine's dialect is one more kind and its functions.
+An adapter dispatches a run and reports the response as messages to the core. It never
+repeats a dispatch. To support another protocol, add a class for its kind and register
+the functions below for it.
 """
 
 from __future__ import annotations
@@ -31,33 +32,36 @@
 
 CONNECT_S = 2.0
 READ_S = 300.0
-"""Silence of an engine after which a run counts as lost."""
+"""Time without data from an engine after which its response counts as cut."""
 
 RESUME_TRIES = 3
 RESUME_PAUSE_S = 0.1
 PIECE_BYTES = 64 << 10
 PROBE_TOKENS = 4
 BUSY_STATUSES = frozenset({429, 503})
-"""Statuses by which an engine of the OpenAI kind says that it did not take a request."""
+"""HTTP statuses by which an OpenAI-style engine refuses a request without running it."""
 
 EVENT_STREAM = "text/event-stream"
 PREFILL_HEADER = "X-Prefill-Tokens"
 CACHED_HEADER = "X-Cached-Tokens"
 
 Sink = Callable[[object], None]
-"""Takes core messages."""
+"""Called with each message to the core."""
 
 Gate = Callable[[str], bool]
-"""Says whether a run may read on from its engine, or must wait for its readers."""
+"""Called with a request id; returns whether to read on from the engine.
+
+It returns false while the readers of the run lag behind.
+"""
 
 
 class _CutError(Exception):
-    """The connection to the engine ended before the answer did."""
+    """The connection to the engine ended before the response did."""
 
 
 @dataclass(slots=True)
 class Connection:
-    """What all kinds share: where the endpoint listens, and the open answers."""
+    """The state that all kinds share: the address, and the open responses by request id."""
 
     url: str
     sink: Sink
@@ -75,7 +79,10 @@
 
 @dataclass(slots=True)
 class OpenAiEngine:
-    """An engine that speaks the OpenAI-style protocol with the usual extensions."""
+    """An engine with the OpenAI-style protocol and the extensions used here.
+
+    These look up and cancel runs, number events, and report the prefix cache.
+    """
 
     conn: Connection
 
@@ -95,7 +102,7 @@
 
 @singledispatch
 def dispatch(endpoint: object, start: StartRun) -> None:
-    """Send a request to the endpoint, once, and report its answer."""
+    """Send a request to the endpoint once and report its response."""
     raise TypeError(f"no adapter for {type(endpoint).__name__}")
 
 
@@ -107,26 +114,26 @@
         "X-Request-Id": rid,
         "X-Priority": str(2 * start.tier + (0 if start.short else 1)),
     }
-    answer = _send(conn, start, headers)
-    if answer is None:
+    response = _send(conn, start, headers)
+    if response is None:
         return
-    if answer.status in BUSY_STATUSES:
-        answer.drain_conn()
+    if response.status in BUSY_STATUSES:
+        response.drain_conn()
         _close(conn, rid)
         conn.sink(EngineNotRun(rid))
         return
-    _follow(conn, rid, answer, 0)
+    _follow(conn, rid, response, 0)
 
 
 @dispatch.register
 def _(endpoint: PlainService, start: StartRun) -> None:
     conn = endpoint.conn
     rid = start.commit.rid
-    answer = _send(conn, start, {"X-Request-Id": rid})
-    if answer is None:
+    response = _send(conn, start, {"X-Request-Id": rid})
+    if response is None:
         return
     try:
-        number = _pieces(conn, rid, answer, 0)
+        number = _pieces(conn, rid, response, 0)
     except (_CutError, HTTPError, OSError):
         conn.sink(EngineEnded(rid, False, 0, Reason.ENGINE_LOST))
     else:
@@ -136,12 +143,12 @@
 
 
 def _send(conn: Connection, start: StartRun, headers: dict[str, str]) -> Any:  # noqa: ANN401
-    """Send a request; return the answer, or ``None`` after reporting a failure."""
+    """Send a request; return the response, or ``None`` after handling a failure."""
     commit = start.commit
     if commit.body:
         headers["Content-Type"] = commit.content_type
     try:
-        answer = conn.pool.request(
+        response = conn.pool.request(
             commit.method,
             conn.url + commit.path,
             body=commit.body or None,
@@ -154,76 +161,79 @@
     except (HTTPError, OSError):
         _recover(conn, commit.rid, 0)
         return None
-    conn.open[commit.rid] = answer
-    return answer
+    conn.open[commit.rid] = response
+    return response
 
 
-def _follow(conn: Connection, rid: str, answer: Any, number: int) -> None:  # noqa: ANN401
-    """Report an engine's answer to its end, resuming it after a cut."""
+def _follow(conn: Connection, rid: str, response: Any, number: int) -> None:  # noqa: ANN401
+    """Report an engine's response to its end; resume it if the connection is lost."""
     progress = [number]
     try:
-        if answer.headers.get("Content-Type", "").startswith(EVENT_STREAM):
-            total = _events(conn, rid, answer, progress)
+        if response.headers.get("Content-Type", "").startswith(EVENT_STREAM):
+            total = _events(conn, rid, response, progress)
         else:
-            total = _pieces(conn, rid, answer, progress[0])
+            total = _pieces(conn, rid, response, progress[0])
     except (_CutError, HTTPError, OSError):
         _close(conn, rid)
         _recover(conn, rid, progress[0])
         return
-    prefill = int(answer.headers.get(PREFILL_HEADER, "0"))
-    cached = int(answer.headers.get(CACHED_HEADER, "0"))
+    prefill = int(response.headers.get(PREFILL_HEADER, "0"))
+    cached = int(response.headers.get(CACHED_HEADER, "0"))
     _close(conn, rid)
     ended = EngineEnded(rid, True, total, prefill_tokens=prefill, cached_tokens=cached)
     conn.sink(ended)
 
 
 def _recover(conn: Connection, rid: str, number: int) -> None:
-    """Look a run up at the engine after its connection was lost."""
+    """Resume a run from a chunk on, after its connection was lost.
+
+    The run is reported as lost if the engine does not know it after some attempts.
+    """
     for _ in range(RESUME_TRIES):
         if rid in conn.cancelled:
             break
         _green.sleep(RESUME_PAUSE_S)
-        answer = _lookup(conn, rid, number)
-        if answer is not None:
-            _follow(conn, rid, answer, number)
+        response = _lookup(conn, rid, number)
+        if response is not None:
+            _follow(conn, rid, response, number)
             return
     conn.cancelled.discard(rid)
     conn.sink(EngineEnded(rid, False, 0, Reason.ENGINE_LOST))
 
 
 def _lookup(conn: Connection, rid: str, number: int) -> Any:  # noqa: ANN401
-    """Return an earlier run's answer from a chunk on; ``None`` if it is not there."""
+    """Return the response of a run from a chunk on; ``None`` if the engine has none."""
     url = f"{conn.url}/v1/runs/{rid}?offset={number}"
     try:
-        answer = conn.pool.request("GET", url, preload_content=False)
+        response = conn.pool.request("GET", url, preload_content=False)
     except (HTTPError, OSError):
         return None
-    if answer.status != 200:
-        answer.drain_conn()
+    if response.status != 200:
+        response.drain_conn()
         return None
-    conn.open[rid] = answer
-    return answer
+    conn.open[rid] = response
+    return response
 
 
-def _events(conn: Connection, rid: str, answer: Any, progress: list[int]) -> int:  # noqa: ANN401
-    """Report server-sent events; their ``id`` numbers them. Return their count."""
+def _events(conn: Connection, rid: str, response: Any, progress: list[int]) -> int:  # noqa: ANN401
+    """Report server-sent events, numbered by their ``id``; return their number."""
     buffer = b""
-    total = -1
-    status = answer.status
-    content_type = answer.headers.get("Content-Type", "")
-    for data in answer.stream(PIECE_BYTES):
+    count = -1
+    status = response.status
+    content_type = response.headers.get("Content-Type", "")
+    for data in response.stream(PIECE_BYTES):
         buffer += data
         *events, buffer = buffer.split(b"\n\n")
         for event in events:
             number, text = _event(event, progress[0])
-            last = text == b"data: [DONE]"
-            if last:
-                total = number + 1
+            is_last = text == b"data: [DONE]"
+            if is_last:
+                count = number + 1
             chunk = Chunk(
                 rid=rid,
                 number=number,
                 data=text + b"\n\n",
-                tokens=0 if last else 1,
+                tokens=0 if is_last else 1,
                 status=status,
                 content_type=content_type,
             )
@@ -231,9 +241,9 @@
             if number == progress[0]:
                 progress[0] += 1
         _wait_for_readers(conn, rid)
-    if total < 0:
+    if count < 0:
         raise _CutError
-    return total
+    return count
 
 
 def _event(event: bytes, expected: int) -> tuple[int, bytes]:
@@ -244,20 +254,22 @@
     return expected, event
 
 
-def _pieces(conn: Connection, rid: str, answer: Any, number: int) -> int:  # noqa: ANN401
-    """Report a plain body piece by piece; return the number of pieces."""
-    content_type = answer.headers.get("Content-Type", "")
-    length = answer.headers.get("Content-Length")
+def _pieces(conn: Connection, rid: str, response: Any, number: int) -> int:  # noqa: ANN401
+    """Report a plain body chunk by chunk; return the number after the last chunk."""
+    content_type = response.headers.get("Content-Type", "")
+    expected_size = response.headers.get("Content-Length")
     size = 0
-    for data in answer.stream(PIECE_BYTES):
-        size += len(data)
-        conn.sink(EngineChunk(Chunk(rid, number, data, 0, answer.status, content_type)))
+    for received in response.stream(PIECE_BYTES):
+        size += len(received)
+        conn.sink(
+            EngineChunk(Chunk(rid, number, received, 0, response.status, content_type))
+        )
         number += 1
         _wait_for_readers(conn, rid)
-    if length is not None and size < int(length):
+    if expected_size is not None and size < int(expected_size):
         raise _CutError
     if number == 0:
-        conn.sink(EngineChunk(Chunk(rid, 0, b"", 0, answer.status, content_type)))
+        conn.sink(EngineChunk(Chunk(rid, 0, b"", 0, response.status, content_type)))
         number = 1
     return number
 
@@ -268,9 +280,9 @@
 
 
 def _close(conn: Connection, rid: str) -> None:
-    answer = conn.open.pop(rid, None)
-    if answer is not None:
-        answer.release_conn()
+    response = conn.open.pop(rid, None)
+    if response is not None:
+        response.release_conn()
 
 
 @singledispatch
@@ -293,16 +305,16 @@
 
 @cancel.register
 def _(endpoint: PlainService, rid: str) -> None:
-    answer = endpoint.conn.open.get(rid)
-    if answer is not None:
-        answer.close()
+    response = endpoint.conn.open.get(rid)
+    if response is not None:
+        response.close()
 
 
 @singledispatch
 def resume(endpoint: object, rid: str) -> bool:
-    """Take over a run of an earlier agent; return whether the endpoint knows it.
+    """Take over a run of an earlier incarnation; return whether the endpoint knows it.
 
-    The answer is read from its beginning, so that any caller can be given all of it.
+    The response is read from its beginning, so that any caller can get all of it.
     """
     del endpoint, rid
     return False
@@ -310,15 +322,15 @@
 
 @resume.register
 def _(endpoint: OpenAiEngine, rid: str) -> bool:
-    answer = _lookup(endpoint.conn, rid, 0)
-    if answer is None:
+    response = _lookup(endpoint.conn, rid, 0)
+    if response is None:
         return False
-    _green.spawn(_follow, endpoint.conn, rid, answer, 0)
+    _green.spawn(_follow, endpoint.conn, rid, response, 0)
     return True
 
 
 def reachable(endpoint: OpenAiEngine | PlainService) -> bool:
-    """Return whether something listens at an endpoint's address."""
+    """Return whether an endpoint's address accepts connections."""
     host, _, port = endpoint.conn.url.removeprefix("http://").rpartition(":")
     try:
         socket.create_connection((host, int(port)), timeout=CONNECT_S).close()
@@ -329,7 +341,7 @@
 
 @singledispatch
 def probe(endpoint: object) -> ProbeSample:
-    """Measure an idle endpoint's speed; most kinds cannot."""
+    """Measure the speed of an idle endpoint; not supported by most kinds."""
     del endpoint
     return ProbeSample(None, None)
 
@@ -341,7 +353,7 @@
     )
     started = clock.now()
     try:
-        answer = endpoint.conn.pool.request(
+        response = endpoint.conn.pool.request(
             "POST",
             f"{endpoint.conn.url}/v1/completions",
             body=body,
@@ -350,32 +362,32 @@
         )
     except (HTTPError, OSError):
         return ProbeSample(None, None)
-    if answer.status != 200:
+    if response.status != 200:
         return ProbeSample(None, None)
     gap = (clock.now() - started) / PROBE_TOKENS
     return ProbeSample(None, gap)
 
 
 def loaded(endpoint: OpenAiEngine | PlainService) -> EndpointState | None:
-    """Return what an endpoint has loaded; ``None`` if it does not say."""
+    """Return what an endpoint has loaded; ``None`` if it does not report it."""
     try:
-        answer = endpoint.conn.pool.request("GET", f"{endpoint.conn.url}/v1/state")
-        if answer.status != 200:
+        response = endpoint.conn.pool.request("GET", f"{endpoint.conn.url}/v1/state")
+        if response.status != 200:
             return None
-        return msgspec.json.decode(answer.data, type=EndpointState)
+        return msgspec.json.decode(response.data, type=EndpointState)
     except (HTTPError, OSError, msgspec.MsgspecError):
         return None
 
 
 def give(endpoint: OpenAiEngine | PlainService, order: Order) -> bool:
-    """Give an order; return whether the endpoint took it."""
+    """Send a load order; return whether the endpoint accepted it."""
     try:
-        answer = endpoint.conn.pool.request(
+        response = endpoint.conn.pool.request(
             "POST", f"{endpoint.conn.url}/v1/orders", body=msgspec.json.encode(order)
         )
     except (HTTPError, OSError):
         return False
-    return bool(answer.status == 200)
+    return bool(response.status == 200)
 
 
 class _Event(msgspec.Struct):
@@ -386,7 +398,10 @@
 
 @singledispatch
 def cache_events(endpoint: object, after: int) -> list[CacheEvent]:
-    """Read what changed in the endpoint's prefix cache; most kinds have none."""
+    """Return the changes of the endpoint's prefix cache after an event number.
+
+    Kinds without such a cache report none.
+    """
     del endpoint, after
     return []
 
@@ -395,8 +410,8 @@
 def _(endpoint: OpenAiEngine, after: int) -> list[CacheEvent]:
     url = f"{endpoint.conn.url}/v1/cache/events?after={after}"
     try:
-        answer = endpoint.conn.pool.request("GET", url)
-        events = msgspec.json.decode(answer.data, type=list[_Event])
+        response = endpoint.conn.pool.request("GET", url)
+        events = msgspec.json.decode(response.data, type=list[_Event])
     except (HTTPError, OSError, msgspec.MsgspecError):
         return []
     return [CacheEvent(event.number, event.stored, event.evicted) for event in events]
--- a/dockreach/granting.py
+++ b/dockreach/granting.py
@@ -1,4 +1,8 @@
-"""Agent systems that queue holds and grant room to the best of them."""
+"""Agent systems that queue holds and grant slots to the best of them.
+
+An entry sends a hold to ask for a slot. The agent answers with an offer (an estimate)
+and later with a grant, or displaces the hold: removes it from the queue and reports why.
+"""
 
 from __future__ import annotations
 
@@ -81,7 +85,7 @@
 
 
 def drop_hold(world: AgentWorld, hold: Hold) -> None:
-    """Forget a hold and any grant for it."""
+    """Remove a hold and any grant for it."""
     world.queue.remove(hold)
     world.holds.pop(hold.rid, None)
     if world.grants.pop(hold.rid, None) is not None:
@@ -90,7 +94,7 @@
 
 
 def close(world: AgentWorld) -> None:
-    """System: give back all holds once no new work may start here."""
+    """System: displace all holds without a grant when no new work may start here."""
     if not world.closed:
         return
     for hold in list(world.holds.values()):
@@ -101,7 +105,7 @@
 
 
 def resume_paused(world: AgentWorld) -> None:
-    """System: queue declined holds again after their pause."""
+    """System: queue declined holds again after their delay."""
     while world.paused and world.paused[0][0] <= world.now:
         _, rid = heapq.heappop(world.paused)
         hold = world.holds.get(rid)
@@ -110,15 +114,15 @@
 
 
 def expire_grants(world: AgentWorld) -> None:
-    """System: take back grants that were not used within their lease."""
-    late = [row for row in world.grants.values() if row.expires <= world.now]
-    for grant in late:
+    """System: void grants that were not used within their lease."""
+    expired = [row for row in world.grants.values() if row.expires <= world.now]
+    for grant in expired:
         drop_hold(world, grant.hold)
         _displace(world, grant.hold.rid, grant.hold.entry, Reason.GRANT_VOID)
 
 
 def grant(world: AgentWorld) -> None:
-    """System: while the engine has room, grant it to the best hold."""
+    """System: grant slots to the best holds while the engine has free ones."""
     world.model.adjust(world.now)
     if world.closed or world.model.suspect(world.now) or world.now < world.busy_until:
         return
@@ -136,28 +140,28 @@
 
 
 RESERVE_MEMORY_S = 15.0
-"""How long slots stay reserved for a kind of request after the last of it came."""
+"""How long slots stay reserved for a kind of request after the last hold of it."""
 
 
 def _room(world: AgentWorld, tier: int, lane: Lane) -> bool:
-    """Return whether a request of this kind may take a slot now.
+    """Return whether a request of this tier and lane may use a slot now.
 
-    It leaves some slots free for higher tiers, and a long one leaves some for short
-    ones of its own tier or a higher one, as long as there are such requests. It leaves
-    none for a lower tier.
+    Some slots are reserved for higher tiers, and from long requests some more for short
+    ones of the same tier or a higher one, as long as such requests arrive. No slots are
+    reserved for lower tiers.
     """
     free = int(world.model.window) - world.active
-    part = world.model.reserve()
+    slots = world.model.reserve()
     reserved = 0
     if _seen(world, tier - 1, Lane.LONG):
-        reserved += part
+        reserved += slots
     if lane is Lane.LONG and _seen(world, tier, Lane.SHORT):
-        reserved += part
+        reserved += slots
     return free > reserved
 
 
 def _seen(world: AgentWorld, lowest: int, longest: Lane) -> bool:
-    """Return whether such requests came lately: of this tier or higher, this short."""
+    """Return whether a hold of at least this tier and at most this length came recently."""
     since = world.now - RESERVE_MEMORY_S
     return any(
         at > since and tier <= lowest and lane <= longest
@@ -204,7 +208,7 @@
 
 
 def _times(world: AgentWorld, hold: Hold, cached: int) -> tuple[float, float]:
-    """Return the seconds to the first token and to the end, once started."""
+    """Return the estimated seconds from the start to the first token and to the end."""
     uncached = max(1, hold.prompt_tokens - cached)
     prefill = world.model.prefill_s(uncached)
     return prefill, prefill + world.model.decode_s(hold.output_tokens)
@@ -216,10 +220,10 @@
 
 
 def _hopeless(world: AgentWorld, hold: Hold) -> bool:
-    """Return whether the answer can no longer be in time from here.
+    """Return whether the answer would miss its deadline even if started now.
 
-    A hold that would only wait too long is kept: the wait is a guess, and a place
-    higher in the queue may come free. The engine's own time is measured.
+    The expected wait in the queue is left out, because it is only a rough estimate and
+    holds ahead may be withdrawn. The engine's own time is based on measurements.
     """
     cached = world.prefix.cached_tokens(hold.blocks)
     total = _times(world, hold, cached)[1]
@@ -227,7 +231,7 @@
 
 
 def offer(world: AgentWorld) -> None:
-    """System: send an estimate for each new hold that was not granted at once."""
+    """System: send an estimate for each new hold that was not granted immediately."""
     for hold in world.unanswered:
         if hold.queued:
             _offer(world, hold)
@@ -236,21 +240,21 @@
 
 MAX_RETRY_S = 30.0
 MIN_QUEUE_FACTOR = 2
-"""Holds of a tier that are kept however long they may wait, as a multiple of slots.
+"""Holds of a tier that are queued whatever their expected wait, as a multiple of slots.
 
-They are there to take a slot that comes free when the estimate was too dark.
+They use the slots that become free if the estimated wait was too long.
 """
 
 WAIT_TRUST = 0.5
-"""Part of an estimated wait that is relied on before work is called hopeless."""
+"""Fraction of an estimated wait that counts when a hold is rejected early."""
 
 
 def _would_wait_too_long(world: AgentWorld, hold: Hold) -> bool:
-    """Return whether a new hold would still be waiting when it can no longer be in time.
+    """Return whether a new hold would wait so long that it misses its deadline.
 
-    Such a request is told at once, with a time to come back, and not at its deadline.
-    As long as a lower tier waits here, only that one is told so: what it gives up is
-    for the higher one.
+    Such a request is rejected immediately, with a time to retry, and not only at its
+    deadline. While a lower tier is queued here, only holds of the lowest tier are
+    rejected, because the slots that they give up go to the higher ones.
     """
     if world.queue.any_below(hold.tier):
         return False
--- a/dockreach/orders.py
+++ b/dockreach/orders.py
@@ -1,12 +1,13 @@
-"""Orders to an endpoint: load a version or adapters, as declared.
+"""Load orders: an agent orders its endpoint to load the declared version and adapters.
 
-Only the endpoint's own agent gives them. Each carries a fence of revision, incarnation
-and number, which rises; an endpoint that checks refuses what is older than the last order
-it took. Where the endpoint does not check, the agent makes sure right before the call
-that it still holds the newest declarations that it knows of.
+Only the endpoint's own agent sends them. Each order carries a fence, an increasing triple
+of revision, incarnation and number; an endpoint that checks fences refuses an order that
+is older than the last one it accepted. Because not every endpoint does, the agent checks
+right before the call that it still has the newest declarations it knows of.
 
-Loads are spread in time, so that a rack that restarts does not ask the weight store for
-everything at once: agents of a pool take turns by rendezvous.
+Loads are spread in time, so that a rack that restarts does not request everything from
+the weight store at once: the endpoints of a pool load one group after another, in an
+order given by rendezvous hashing.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 class Fence(NamedTuple):
-    """Orders rise by revision, then by the agent's incarnation, then by number."""
+    """Position of a load order: by revision, then agent incarnation, then number."""
 
     revision: int
     incarnation: int
@@ -29,14 +30,14 @@
 
 
 class Wanted(NamedTuple):
-    """What an endpoint is to have loaded."""
+    """The version and adapters that an endpoint should have loaded."""
 
     version: str
     adapters: tuple[str, ...]
 
 
 class Order(msgspec.Struct, frozen=True):
-    """An order as it is sent to an endpoint."""
+    """A load order as it is sent to an endpoint."""
 
     version: str
     adapters: tuple[str, ...]
@@ -44,14 +45,14 @@
 
 
 class EndpointState(msgspec.Struct, frozen=True):
-    """What an endpoint says that it has loaded."""
+    """The version and adapters that an endpoint reports as loaded."""
 
     version: str = ""
     adapters: tuple[str, ...] = ()
 
 
 def wanted(declared: Endpoint) -> Wanted | None:
-    """Return what is declared for an endpoint; ``None`` if nothing is."""
+    """Return what an endpoint should load; ``None`` if nothing is declared."""
     adapters = tuple(part.strip() for part in declared.adapters.split(",") if part.strip())
     if not declared.version and not adapters:
         return None
@@ -59,24 +60,26 @@
 
 
 def turn_s(declarations: Declarations, endpoint: str) -> float:
-    """Return how long an endpoint's load waits for its turn, in seconds."""
+    """Return the delay of an endpoint's load behind others of its pool, in seconds."""
     pool = declarations.endpoints[endpoint].pool
-    rivals = [
+    loading = [
         name
         for name, item in declarations.endpoints.items()
         if item.pool == pool and wanted(item) is not None
     ]
-    order = ranked(f"{declarations.revision}", rivals)
+    ranked_names = ranked(f"{declarations.revision}", loading)
     fleet = declarations.fleet
-    return order.index(endpoint) // fleet.loads_at_once * fleet.load_s
+    return ranked_names.index(endpoint) // fleet.loads_at_once * fleet.load_s
 
 
 @dataclass(slots=True)
 class OrderBook:
-    """The orders of one agent to its endpoint.
+    """Decides when an agent sends which load order to its endpoint.
 
     Attributes:
-        due: When the next order may be given; ``None`` if none is to be.
+        due: When the next order may be sent; ``None`` if none is needed.
+        number: Number of the last order.
+        given: Fences of all orders so far.
     """
 
     endpoint: str
@@ -88,7 +91,7 @@
     given: list[Fence] = field(default_factory=list)
 
     def declare(self, declarations: Declarations, now: float) -> None:
-        """Take newly accepted declarations."""
+        """Apply newly accepted declarations."""
         declared = declarations.endpoints.get(self.endpoint)
         target = wanted(declared) if declared else None
         self.revision = declarations.revision
@@ -100,7 +103,7 @@
             self.due = now + turn_s(declarations, self.endpoint)
 
     def next_order(self, state: EndpointState, now: float) -> Order | None:
-        """Return the order to give now; ``None`` if there is nothing to do."""
+        """Return the order to send now; ``None`` if there is nothing to do."""
         if self.target is None or self.due is None or now < self.due:
             return None
         if (state.version, state.adapters) == self.target:
--- a/dockreach/placement.py
+++ b/dockreach/placement.py
@@ -1,4 +1,9 @@
-"""Entry systems that ask agents for room and choose among their grants."""
+"""Entry systems that send holds to agents and choose among the grants they return.
+
+A hold asks an agent for a slot. The agent answers with an offer (an estimate), and with
+a grant once it has a slot; the entry accepts the best grant and declines or withdraws
+the others.
+"""
 
 from __future__ import annotations
 
@@ -19,13 +24,13 @@
 from .verdict import Reason, Refusal, Verdict
 
 AFFINITY_AGENTS = 2
-"""Agents asked because of a prompt's first block."""
+"""Number of agents preferred by the hash of a prompt's first block (cache affinity)."""
 
 DECLINE_SLACK_S = 0.02
-"""A grant is not declined for a gain smaller than this."""
+"""Minimum gain in price for which a grant is declined in favour of an offer."""
 
 TRANSIENT = frozenset({Reason.GRANT_VOID, Reason.STOPPING})
-"""Reasons for which an agent is not counted as having refused."""
+"""Reasons for displacing a hold that do not count as a refusal by the agent."""
 
 
 @receive.register
@@ -67,28 +72,28 @@
 
 
 def supersede(world: EntryWorld, rid: str) -> None:
-    """End an earlier try of the same request here; its run, if any, goes on."""
+    """End an earlier attempt of a request at this entry; its run, if any, continues."""
     earlier = world.requests.get(rid)
     if earlier is not None:
-        detail = "a later try of this request took its place"
+        detail = "a later attempt of this request superseded it"
         refusal = Refusal(Verdict.MAY_HAVE_RUN, Reason.SUPERSEDED, detail)
         shedding.finish(world, earlier, refusal)
 
 
 def owner_of(world: EntryWorld, rid: str) -> str | None:
-    """Return the endpoint that owns a key, by the declared endpoints."""
+    """Return the endpoint that owns a key, by rendezvous hashing over those declared."""
     return choose(rid, world.declarations.endpoints)
 
 
 def claim(world: EntryWorld, req: RequestRow) -> bool:
-    """Claim a request's key at its owner; refuse if the owner is out of reach."""
+    """Claim a request's key at its owner; refuse the request if that is unreachable."""
     owner = owner_of(world, req.rid)
     row = world.agents.get(owner or "")
     if row is None or not row.linked:
         refusal = Refusal(
             Verdict.MAY_HAVE_RUN,
             Reason.CLAIM_UNCERTAIN,
-            "the owner of this idempotency key is out of reach; an earlier try may run",
+            "the owner of this idempotency key is unreachable; an earlier attempt may run",
             2.0,
         )
         shedding.finish(world, req, refusal)
@@ -100,10 +105,10 @@
 
 
 def candidates(world: EntryWorld, req: RequestRow) -> list[str]:
-    """Return the agents that may be asked, the preferred ones first.
+    """Return the agents that a hold may be sent to, the preferred ones first.
 
-    The owner of a request's key never runs it, so that one failure cannot take both
-    the claim and the run.
+    The owner of a request's key does not run it, unless it is the only usable agent, so
+    that one failure cannot lose both the claim and the run.
     """
     usable = [name for name in world.pools.get(req.pool, []) if open_to(world, name)]
     if req.keyed and len(usable) > 1:
@@ -112,10 +117,10 @@
     if len(usable) <= world.policy.ask_all_up_to or not req.blocks:
         return usable
     by_prefix = ranked(str(req.blocks[0]), usable)
-    first = by_prefix[:AFFINITY_AGENTS]
+    preferred = by_prefix[:AFFINITY_AGENTS]
     rest = by_prefix[AFFINITY_AGENTS:]
     world.rng.shuffle(rest)
-    return first + rest
+    return preferred + rest
 
 
 def open_to(world: EntryWorld, name: str) -> bool:
@@ -128,7 +133,7 @@
 
 
 def ask(world: EntryWorld, req: RequestRow) -> None:
-    """Send holds to some agents, and to more each time it is called."""
+    """Send holds to some agents, and to more of them with each call."""
     names = [
         name
         for name in candidates(world, req)
@@ -153,9 +158,9 @@
 
 
 def _wait_or_give_up(world: EntryWorld, req: RequestRow) -> None:
-    """Wait a little where no agent refused but none takes new work just now."""
-    impatient = world.now >= req.arrived + world.policy.patience_s
-    if req.turned_away or impatient or not world.pools.get(req.pool):
+    """Wait for a short time if no agent refused but none accepts new work at present."""
+    timed_out = world.now >= req.arrived + world.policy.patience_s
+    if req.turned_away or timed_out or not world.pools.get(req.pool):
         give_up(world, req)
         return
     req.widen_at = world.now + world.policy.closed_s
@@ -163,7 +168,7 @@
 
 
 def hold_at(world: EntryWorld, req: RequestRow, name: str) -> None:
-    """Send a hold to one agent."""
+    """Send a hold for a request to one agent."""
     req.asked.add(name)
     world.at_agent.setdefault(name, set()).add(req.rid)
     hold = Hold(
@@ -181,7 +186,7 @@
 
 
 def unhold(world: EntryWorld, req: RequestRow, name: str) -> None:
-    """Forget that an agent holds a request."""
+    """Remove an agent's hold, offer and grant from a request."""
     req.asked.discard(name)
     req.heard.discard(name)
     req.offers.pop(name, None)
@@ -190,7 +195,7 @@
 
 
 def withdraw_all(world: EntryWorld, req: RequestRow, but: str = "") -> None:
-    """Take a request back from all agents that hold it, but for one."""
+    """Withdraw a request from all agents that hold it, except one."""
     for name in sorted(req.asked):
         if name != but:
             world.send(name, Withdraw(rid=req.rid, served=bool(but)))
@@ -214,7 +219,7 @@
     req.offers[peer] = offer
     req.heard.add(peer)
     world.undecided.add(req.rid)
-    detail = f"wait {message.wait_ms} ms, whole in {message.total_ms} ms"
+    detail = f"wait {message.wait_ms} ms, complete in {message.total_ms} ms"
     world.note(req, "offer", peer, f"{detail}, {message.cached_tokens} cached")
 
 
@@ -229,7 +234,7 @@
     req.grants[peer] = message
     req.heard.add(peer)
     world.undecided.add(req.rid)
-    detail = f"whole in {message.total_ms} ms, {message.cached_tokens} cached"
+    detail = f"complete in {message.total_ms} ms, {message.cached_tokens} cached"
     world.note(req, "grant", peer, detail)
 
 
@@ -256,7 +261,7 @@
 
 
 def give_up(world: EntryWorld, req: RequestRow) -> None:
-    """Refuse a request that no agent of its pool holds any more."""
+    """Refuse a request that no agent of its pool holds any longer."""
     reasons = set(req.turned_away.values())
     for reason in (Reason.SHED, Reason.FLOOR, Reason.HOPELESS):
         if reason in reasons:
@@ -265,17 +270,17 @@
         reason = Reason.NO_ENDPOINT
     retry_s = max(0.5, req.retry_ms / MILLIS)
     names = ", ".join(sorted(req.turned_away))
-    detail = f"no agent could take it ({names or 'none reachable'})"
+    detail = f"no agent accepted the request ({names or 'none reachable'})"
     refusal = Refusal(shedding.waiting_verdict(req), reason, detail, retry_s)
     shedding.finish(world, req, refusal)
 
 
 def choose_grant(world: EntryWorld, req: RequestRow) -> Grant | None:
-    """Return the best grant at hand, declining those that do not pay.
+    """Return the best grant, and decline all others.
 
-    The price of a grant is the time to a whole answer plus the weighted time of its
-    prefill. A grant is declined while another agent's offer is clearly cheaper; an
-    offer whose predicted start has passed no longer counts.
+    The price of a grant is the time to the complete answer plus the weighted time of its
+    prefill. The best grant is declined too, and ``None`` returned, if another agent's
+    offer is clearly cheaper. An offer whose predicted start has passed does not count.
     """
     best_name = ""
     best_price = float("inf")
@@ -285,11 +290,11 @@
             best_name, best_price = name, price
     if not best_name:
         return None
-    rival = _best_offer(world, req, set(req.grants))
+    offer_price = _best_offer(world, req, set(req.grants))
     for name in sorted(set(req.grants) - {best_name}):
-        _decline(world, req, name, "a better grant is at hand")
-    if rival + DECLINE_SLACK_S < world.policy.decline_margin * best_price:
-        detail = f"price {best_price:.3f} against an offer of {rival:.3f}"
+        _decline(world, req, name, "another grant has a lower price")
+    if offer_price + DECLINE_SLACK_S < world.policy.decline_margin * best_price:
+        detail = f"price {best_price:.3f}, best offer {offer_price:.3f}"
         _decline(world, req, best_name, detail)
         return None
     return req.grants[best_name]
--- a/dockreach/prefix.py
+++ b/dockreach/prefix.py
@@ -1,4 +1,4 @@
-"""Prefix blocks of a prompt, and an agent's view of its engine's prefix cache."""
+"""Prefix blocks of a prompt, and an agent's model of its engine's prefix cache."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from hashlib import blake2b
 
 CHARS_PER_TOKEN = 4
-"""Mean length of a token in characters, used where no tokenizer is at hand."""
+"""Assumed mean length of a token in characters; no tokenizer is used."""
 
 BLOCK_TOKENS = 64
-"""Tokens in one prefix block."""
+"""Number of tokens in one prefix block."""
 
 BLOCK_CHARS = BLOCK_TOKENS * CHARS_PER_TOKEN
 
 MAX_BLOCKS = 1024
-"""Blocks hashed of one prompt; the rest of a longer prompt counts as not cached."""
+"""Maximum number of blocks hashed per prompt; the rest counts as not cached."""
 
 
 def token_count(text: str) -> int:
@@ -24,22 +24,22 @@
 
 
 def block_hashes(text: str) -> tuple[int, ...]:
-    """Return a hash for each whole block, each covering all blocks before it."""
+    """Return a hash for each complete block; it also covers all blocks before it."""
     hashes = []
-    chain = b""
-    last = min(len(text) // BLOCK_CHARS, MAX_BLOCKS)
-    for index in range(last):
+    digest = b""
+    count = min(len(text) // BLOCK_CHARS, MAX_BLOCKS)
+    for index in range(count):
         block = text[index * BLOCK_CHARS : (index + 1) * BLOCK_CHARS]
-        chain = blake2b(chain + block.encode(), digest_size=8).digest()
-        hashes.append(int.from_bytes(chain, "big") >> 1)
+        digest = blake2b(digest + block.encode(), digest_size=8).digest()
+        hashes.append(int.from_bytes(digest, "big") >> 1)
     return tuple(hashes)
 
 
 class PrefixIndex:
-    """The blocks that an engine probably caches, in order of last use.
+    """The blocks that an engine probably caches, least recently used first.
 
-    The index follows what the agent itself dispatched, and is corrected by the
-    engine's cache events. It only informs estimates; nothing relies on it.
+    The index records what the agent itself dispatched, and the engine's cache events
+    correct it. It is used for estimates only, so errors in it do no harm.
 
     Args:
         capacity: Number of blocks that the engine's cache holds.
@@ -79,8 +79,8 @@
             evicted: Blocks no longer cached.
 
         Returns:
-            Whether the event followed the last one. After a gap the blocks that the
-            lost events may have evicted are unknown, and the index starts anew.
+            Whether no event was missed before this one. After a gap it is unknown which
+            blocks the lost events evicted, so the index is cleared.
         """
         if number <= self._last_event:
             return True
--- a/dockreach/queueing.py
+++ b/dockreach/queueing.py
@@ -1,8 +1,8 @@
-"""An agent's queue of holds: by tier, then fair between organisations, then deadline.
+"""An agent's queue of holds, ordered by tier, fairness between organisations, deadline.
 
-Fairness inside a tier is start-time fair queuing: each organisation has a virtual
-service, which grows by cost over share when one of its holds is granted; the
-organisation with the least goes next. (Goyal, Vin and Cheng, 1996.)
+Within a tier the queue uses start-time fair queuing (Goyal, Vin and Cheng, 1996): each
+organisation has a virtual service, which grows by cost divided by share when one of its
+holds is granted. The organisation with the least virtual service is served next.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Lane(enum.IntEnum):
-    """Length class of a request, so that short ones pass long ones."""
+    """Length class of a request; slots are reserved for the short ones."""
 
     SHORT = 0
     LONG = 1
@@ -22,9 +22,14 @@
 
 @dataclass(slots=True)
 class Hold:
-    """A request that waits at an entry, as its agent sees it.
+    """A request that waits at an entry and that this agent may grant a slot to.
 
     Times are seconds on the agent's clock.
+
+    Attributes:
+        share: Weight of the organisation in fair queuing.
+        blocks: Hashes of the prompt's prefix blocks; see `prefix`.
+        declines: How often the entry declined a grant for it.
     """
 
     rid: str
@@ -43,23 +48,23 @@
 
     @property
     def cost(self) -> float:
-        """Work of the request in decode-token units, for fairness."""
+        """Return the work of the request in units of one generated token."""
         return self.output_tokens + self.prompt_tokens / PREFILL_PER_DECODE
 
 
 PREFILL_PER_DECODE = 10.0
-"""Prompt tokens that cost an engine as much as one generated token."""
+"""Number of prompt tokens that cost an engine as much as one generated token."""
 
 
 @dataclass(slots=True)
 class _Flow:
-    """The holds of one organisation in one tier."""
+    """The holds of one organisation in one tier, with one heap for each lane."""
 
     service: float = 0.0
     lanes: tuple[list[tuple[float, int, Hold]], ...] = ([], [])
 
     def head(self, lane: Lane) -> Hold | None:
-        """Return the first live hold of a lane, dropping dead ones."""
+        """Return the first hold of a lane, deleting removed ones in front of it."""
         heap = self.lanes[lane]
         while heap and not heap[0][2].queued:
             heapq.heappop(heap)
@@ -68,7 +73,13 @@
 
 @dataclass(slots=True)
 class _Tier:
-    """The holds of one tier."""
+    """The holds of one tier.
+
+    Attributes:
+        flows: Queue of each organisation.
+        arrivals: Holds in order of arrival, with removed ones in between.
+        live: Number of queued holds.
+    """
 
     flows: dict[str, _Flow] = field(default_factory=dict)
     arrivals: list[Hold] = field(default_factory=list)
@@ -77,7 +88,11 @@
 
 
 class HoldQueue:
-    """Holds in order of service; removal is lazy, so no call is linear in their number."""
+    """Holds in the order in which they are served.
+
+    Removed holds are only marked and deleted later, so that a removal does not search
+    the heaps.
+    """
 
     def __init__(self) -> None:
         self._tiers: dict[int, _Tier] = {}
@@ -88,77 +103,85 @@
         return self._live
 
     def ahead_of(self, tier: int) -> int:
-        """Return how many holds stand in this tier and the higher ones."""
-        return sum(table.live for rank, table in self._tiers.items() if rank <= tier)
+        """Return the number of holds in this tier and the higher ones."""
+        return sum(
+            tier_queue.live for rank, tier_queue in self._tiers.items() if rank <= tier
+        )
 
     def in_tier(self, tier: int) -> int:
-        """Return how many holds stand in a tier."""
-        table = self._tiers.get(tier)
-        return table.live if table else 0
+        """Return the number of holds in a tier."""
+        tier_queue = self._tiers.get(tier)
+        return tier_queue.live if tier_queue else 0
 
     def tiers(self) -> list[int]:
-        """Return the tiers in which holds have stood."""
+        """Return all tiers that have ever had a hold."""
         return list(self._tiers)
 
     def any_below(self, tier: int) -> bool:
-        """Return whether a hold of a lower tier waits."""
-        return any(table.live for rank, table in self._tiers.items() if rank > tier)
+        """Return whether a hold of a lower tier is queued."""
+        return any(
+            tier_queue.live for rank, tier_queue in self._tiers.items() if rank > tier
+        )
 
     def add(self, hold: Hold) -> None:
         """Queue a hold."""
-        table = self._tiers.setdefault(hold.tier, _Tier())
-        flow = table.flows.get(hold.organisation)
-        if flow is None:
-            flow = _Flow(service=table.virtual_time, lanes=([], []))
-            table.flows[hold.organisation] = flow
-        flow.service = max(flow.service, table.virtual_time)
+        tier_queue = self._tiers.setdefault(hold.tier, _Tier())
+        queue = tier_queue.flows.get(hold.organisation)
+        if queue is None:
+            queue = _Flow(service=tier_queue.virtual_time, lanes=([], []))
+            tier_queue.flows[hold.organisation] = queue
+        queue.service = max(queue.service, tier_queue.virtual_time)
         self._sequence += 1
-        heapq.heappush(flow.lanes[hold.lane], (hold.deadline, self._sequence, hold))
-        table.arrivals.append(hold)
+        heapq.heappush(queue.lanes[hold.lane], (hold.deadline, self._sequence, hold))
+        tier_queue.arrivals.append(hold)
         hold.queued = True
-        table.live += 1
+        tier_queue.live += 1
         self._live += 1
 
     def remove(self, hold: Hold) -> None:
-        """Take a hold out of the queue; one that is not queued is left alone."""
+        """Remove a hold from the queue; does nothing if it is not queued."""
         if not hold.queued:
             return
         hold.queued = False
-        table = self._tiers[hold.tier]
-        table.live -= 1
+        tier_queue = self._tiers[hold.tier]
+        tier_queue.live -= 1
         self._live -= 1
-        if len(table.arrivals) > 2 * table.live + 16:
-            self._compact(table)
+        if len(tier_queue.arrivals) > 2 * tier_queue.live + 16:
+            self._compact(tier_queue)
 
     def charge(self, hold: Hold) -> None:
-        """Count a granted hold against its organisation."""
-        table = self._tiers[hold.tier]
-        flow = table.flows.get(hold.organisation)
-        if flow is None:
+        """Charge a granted hold to its organisation."""
+        tier_queue = self._tiers[hold.tier]
+        queue = tier_queue.flows.get(hold.organisation)
+        if queue is None:
             return
-        table.virtual_time = max(table.virtual_time, flow.service)
-        flow.service += hold.cost / hold.share
+        tier_queue.virtual_time = max(tier_queue.virtual_time, queue.service)
+        queue.service += hold.cost / hold.share
 
     def refund(self, hold: Hold) -> None:
-        """Undo a charge: the grant was not used."""
-        flow = self._tiers[hold.tier].flows.get(hold.organisation)
-        if flow is not None:
-            flow.service -= hold.cost / hold.share
+        """Undo a charge for a grant that was not used."""
+        queue = self._tiers[hold.tier].flows.get(hold.organisation)
+        if queue is not None:
+            queue.service -= hold.cost / hold.share
 
     def pick(self, allowed: Callable[[int, Lane], bool]) -> Hold | None:
-        """Return the hold to serve next among those in an allowed tier and lane."""
+        """Return the hold to serve next; ``None`` if there is none.
+
+        Args:
+            allowed: Whether holds of a tier and lane may be served now.
+        """
         for tier in sorted(self._tiers):
-            table = self._tiers[tier]
-            if not table.live:
+            tier_queue = self._tiers[tier]
+            if not tier_queue.live:
                 continue
             lanes = [lane for lane in Lane if allowed(tier, lane)]
-            hold = self._first(table, lanes)
+            hold = self._first(tier_queue, lanes)
             if hold is not None:
                 return hold
         return None
 
     def newest_of_lowest_tier(self) -> Hold | None:
-        """Return the hold to displace first under pressure."""
+        """Return the hold to displace first when the queue is too long."""
         for tier in sorted(self._tiers, reverse=True):
             arrivals = self._tiers[tier].arrivals
             while arrivals and not arrivals[-1].queued:
@@ -168,28 +191,28 @@
         return None
 
     def __iter__(self) -> Iterator[Hold]:
-        for table in self._tiers.values():
-            for hold in table.arrivals:
+        for tier_queue in self._tiers.values():
+            for hold in tier_queue.arrivals:
                 if hold.queued:
                     yield hold
 
     @staticmethod
-    def _first(table: _Tier, lanes: list[Lane]) -> Hold | None:
+    def _first(tier_queue: _Tier, lanes: list[Lane]) -> Hold | None:
         best: Hold | None = None
-        best_service = float("inf")
-        for flow in table.flows.values():
-            if flow.service >= best_service:
+        least_service = float("inf")
+        for queue in tier_queue.flows.values():
+            if queue.service >= least_service:
                 continue
-            heads = [hold for lane in lanes if (hold := flow.head(lane)) is not None]
+            heads = [hold for lane in lanes if (hold := queue.head(lane)) is not None]
             if heads:
                 best = min(heads, key=lambda hold: hold.deadline)
-                best_service = flow.service
+                least_service = queue.service
         return best
 
     @staticmethod
-    def _compact(table: _Tier) -> None:
-        table.arrivals = [hold for hold in table.arrivals if hold.queued]
-        idle = [name for name, flow in table.flows.items() if not any(flow.lanes)]
+    def _compact(tier_queue: _Tier) -> None:
+        tier_queue.arrivals = [hold for hold in tier_queue.arrivals if hold.queued]
+        idle = [name for name, queue in tier_queue.flows.items() if not any(queue.lanes)]
         for name in idle:
-            if table.flows[name].service <= table.virtual_time:
-                del table.flows[name]
+            if tier_queue.flows[name].service <= tier_queue.virtual_time:
+                del tier_queue.flows[name]
--- a/dockreach/running.py
+++ b/dockreach/running.py
@@ -1,4 +1,7 @@
-"""Agent systems that run committed requests once and deliver their answers whole."""
+"""Agent systems that run committed requests and deliver their answers.
+
+Each request runs at most once, and its answer is delivered completely and in order.
+"""
 
 from __future__ import annotations
 
@@ -69,7 +72,7 @@
 
 
 def _void_reason(world: AgentWorld, message: Commit, peer: str) -> Reason | None:
-    """Return why a commit must not run, or ``None`` if it may."""
+    """Return why a commit must not run; ``None`` if it may."""
     if message.incarnation != world.incarnation:
         return Reason.AGENT_RESTARTED
     if message.number <= world.fences.get(message.rid, -1):
@@ -87,8 +90,8 @@
 def refuse(world: AgentWorld, rid: str, number: int, entry: str, reason: Reason) -> None:
     """Answer a commit with a proof that it was not run and never will be.
 
-    A commit for an earlier incarnation is not this agent's to vouch for: the earlier
-    one may have run it.
+    For a commit to an earlier incarnation there is no such proof: that incarnation may
+    have run it, so the engine is asked instead.
     """
     if reason is Reason.AGENT_RESTARTED:
         _restarted(world, rid, entry, 0)
@@ -100,7 +103,7 @@
 
 
 def _restarted(world: AgentWorld, rid: str, entry: str, from_chunk: int) -> None:
-    """Ask the engine about a run that only an earlier incarnation could know."""
+    """Ask the engine about a run that an earlier incarnation may have started."""
     world.actions.append(ResumeRun(rid, entry, from_chunk))
 
 
@@ -186,7 +189,7 @@
 
 
 def cancel_run(world: AgentWorld, run: RunRow, reason: Reason) -> None:
-    """End a run at the engine and tell whoever still reads it."""
+    """Cancel a run at the engine and send its end to the remaining readers."""
     world.counters.cancelled += 1
     world.actions.append(CancelRun(run.rid))
     _end(world, run, whole=False, reason=reason)
@@ -280,7 +283,7 @@
 
 
 def _back_off(world: AgentWorld) -> None:
-    """Grant nothing for a while to an engine that says it is busy."""
+    """Stop granting for a while after the engine refused a request because it is busy."""
     world.busy_s = min(BUSY_MAX_S, max(BUSY_S, 2 * world.busy_s))
     world.busy_until = world.now + world.busy_s
 
@@ -323,7 +326,10 @@
 
 
 def _forget_entry(world: AgentWorld, peer: str) -> None:
-    """Drop a lost entry's holds; its runs go on, and wait to be attached to."""
+    """Drop the holds of an entry that was lost or restarted.
+
+    Its runs continue, so that an entry can attach to them later.
+    """
     for hold in [row for row in world.holds.values() if row.entry == peer]:
         drop_hold(world, hold)
     for run in world.runs.values():
@@ -332,7 +338,7 @@
 
 
 def deliver(world: AgentWorld) -> None:
-    """System: send new chunks to each reader, within its window."""
+    """System: send stored chunks to each reader, up to its window."""
     for rid in world.fresh:
         run = world.runs.get(rid)
         if run is None:
@@ -343,38 +349,39 @@
 
 
 def _deliver_to(world: AgentWorld, run: RunRow, entry: str, reader: Reader) -> None:
-    first = max(reader.acked, run.base)
-    ahead = sum(
-        len(run.chunks[index - run.base].data) for index in range(first, reader.sent)
+    first_unacked = max(reader.acked, run.base)
+    unacked = sum(
+        len(run.chunks[index - run.base].data)
+        for index in range(first_unacked, reader.sent)
     )
-    while reader.sent < run.next_chunk and ahead < world.policy.reader_window:
+    while reader.sent < run.next_chunk and unacked < world.policy.reader_window:
         chunk = run.chunks[reader.sent - run.base]
         world.send(entry, chunk)
         reader.sent += 1
-        ahead += len(chunk.data)
+        unacked += len(chunk.data)
     if run.end is not None and reader.sent == run.next_chunk and not reader.told_end:
         world.send(entry, run.end)
         reader.told_end = True
 
 
 def backlog_bytes(run: RunRow) -> int:
-    """Return the bytes that the slowest reader has not yet taken over.
+    """Return the estimated bytes that the slowest reader has not yet acknowledged.
 
-    The adapter stops reading from the engine while this is large.
+    The adapter stops reading from the engine while there are too many.
     """
     if not run.readers:
         return 0
     acked = min(reader.acked for reader in run.readers.values())
-    unread = run.next_chunk - max(acked, run.base)
-    if unread <= 0 or not run.chunks:
+    unacked_chunks = run.next_chunk - max(acked, run.base)
+    if unacked_chunks <= 0 or not run.chunks:
         return 0
-    mean = run.kept_bytes / len(run.chunks)
-    return int(unread * mean)
+    mean_bytes = run.kept_bytes / len(run.chunks)
+    return int(unacked_chunks * mean_bytes)
 
 
 def expire_orphans(world: AgentWorld) -> None:
-    """System: cancel runs that nobody has read for long, past their deadline."""
-    late = [
+    """System: cancel runs that are past their deadline and have had no reader for long."""
+    expired = [
         run
         for run in world.runs.values()
         if run.orphaned is not None
@@ -382,14 +389,15 @@
         and world.now > run.orphaned + world.policy.orphan_s
         and world.now > run.deadline
     ]
-    for run in late:
+    for run in expired:
         cancel_run(world, run, Reason.CALLER_GONE)
 
 
 def bound_answers(world: AgentWorld) -> None:
     """System: keep the memory of stored answers under its limit.
 
-    What a reader has not taken over is never dropped; the reader's window bounds it.
+    Chunks that a reader has not acknowledged are never dropped; the reader's window
+    limits them.
     """
     if world.kept_bytes <= world.policy.answer_bytes:
         return
@@ -406,7 +414,10 @@
 
 
 def _trim(world: AgentWorld, run: RunRow) -> None:
-    """Drop the chunks that every reader has, but not that the request ran."""
+    """Drop the chunks that every reader has acknowledged.
+
+    The row itself stays: it records that the request ran.
+    """
     if run.readers:
         upto = min(reader.acked for reader in run.readers.values())
     elif run.end is not None:
@@ -421,7 +432,7 @@
 
 
 def forget_run(world: AgentWorld, rid: str) -> None:
-    """Forget a run after its retention; it can no longer be asked about."""
+    """Delete a run after its retention time; no entry can attach to it any more."""
     run = world.runs.pop(rid, None)
     if run is not None:
         world.kept_bytes -= run.kept_bytes
--- a/dockreach/shedding.py
+++ b/dockreach/shedding.py
@@ -1,4 +1,8 @@
-"""Entry systems that end requests: refusals, deadlines, memory and the floor."""
+"""Entry systems that end requests: refusals, deadlines, memory limit and the floor.
+
+The floor is the lowest tier that is accepted while memory is short. Entries send it to
+each other and to the agents; all tiers below it are refused until it expires.
+"""
 
 from __future__ import annotations
 
@@ -12,13 +16,13 @@
 from .verdict import Reason, Refusal, Verdict
 
 HEADROOM_S = 1.0
-"""Retry-After of a request shed for want of memory."""
+"""Retry-After of a request that was shed or that missed its deadline while waiting."""
 
 
 def waiting_verdict(req: RequestRow) -> Verdict:
-    """Return the verdict on a request of which this try was not run.
+    """Return the verdict on a request whose current attempt was not run.
 
-    A keyed request whose owner has not answered may have run in an earlier try.
+    A keyed request whose owner has not answered may have run in an earlier attempt.
     """
     if req.keyed and req.claim is None:
         return Verdict.MAY_HAVE_RUN
@@ -26,12 +30,12 @@
 
 
 def committed_verdict(req: RequestRow) -> Verdict:
-    """Return the verdict on a committed request of which no proof has come."""
+    """Return the verdict on a committed request without a proof that it was not run."""
     return Verdict.MAY_HAVE_RUN if req.first_chunk is None else Verdict.RAN
 
 
 def finish(world: EntryWorld, req: RequestRow, refusal: Refusal | None) -> None:
-    """End a request with a refusal, or with its whole answer."""
+    """End a request with a refusal, or with its complete answer if that is ``None``."""
     if req.phase is Phase.DONE:
         return
     for name in sorted(req.asked):
@@ -55,7 +59,7 @@
 NOT_COUNTED = frozenset(
     {Reason.CALLER_GONE, Reason.OPERATOR, Reason.KEY_REUSED, Reason.SUPERSEDED}
 )
-"""Ends that are the caller's or an operator's doing, and burn no budget."""
+"""Refusals caused by the caller or an operator; they don't count against the objective."""
 
 
 def _count(world: EntryWorld, req: RequestRow, refusal: Refusal | None) -> None:
@@ -97,7 +101,7 @@
 
 @receive.register
 def _(message: Floor, world: EntryWorld, peer: str) -> None:
-    """Refuse the tiers below another entry's floor, before it sheds higher ones."""
+    """Refuse the tiers below another entry's floor, so that it sheds no higher ones."""
     del peer
     until = world.now + message.lease_ms / MILLIS
     if floor(world) is None or message.tier <= (world.floor_tier or 0):
@@ -108,12 +112,12 @@
 
 
 def floor(world: EntryWorld) -> int | None:
-    """Return the lowest tier that is accepted now; ``None`` for all."""
+    """Return the lowest tier that is accepted now; ``None`` if all are."""
     return world.floor_tier if world.now < world.floor_until else None
 
 
 def refuse_below_floor(world: EntryWorld, req: RequestRow) -> bool:
-    """Refuse a new request that is below the floor; return whether it was."""
+    """Refuse a new request if it is below the floor; return whether it was refused."""
     lowest = floor(world)
     if lowest is None or req.tier <= lowest:
         return False
@@ -122,7 +126,7 @@
 
 
 def bound_memory(world: EntryWorld) -> None:
-    """System: raise the floor before memory runs out, then shed from below."""
+    """System: raise the floor before memory runs out, then shed the lowest tiers first."""
     policy = world.policy
     if world.waiting_bytes > policy.waiting_bytes * policy.floor_at:
         _raise_floor(world)
@@ -134,20 +138,20 @@
 
 
 def _raise_floor(world: EntryWorld) -> None:
-    """Refuse the lowest tier that waits here, and all below it, everywhere in reach.
+    """Refuse the lowest waiting tier and all below it, here and at all linked peers.
 
-    Where only one tier waits, it is kept and all below it are refused. The floor is
-    looked at again while memory stays short, and so rises step by step.
+    If only one tier waits, it is still accepted and all below it are refused. While
+    memory stays short this is repeated, so the floor rises step by step.
     """
-    lease = world.policy.floor_lease_s
-    if world.now < world.floor_sent + lease / 2:
+    lease_s = world.policy.floor_lease_s
+    if world.now < world.floor_sent + lease_s / 2:
         return
-    present = sorted(tier for tier, table in world.waiting.items() if table)
-    lowest = present[-2] if len(present) > 1 else present[-1]
+    waiting_tiers = sorted(tier for tier, table in world.waiting.items() if table)
+    lowest = waiting_tiers[-2] if len(waiting_tiers) > 1 else waiting_tiers[-1]
     world.floor_tier = lowest
-    world.floor_until = world.now + lease
+    world.floor_until = world.now + lease_s
     world.floor_sent = world.now
-    message = Floor(tier=lowest, lease_ms=int(lease * MILLIS))
+    message = Floor(tier=lowest, lease_ms=int(lease_s * MILLIS))
     for peer in [*world.agents, *world.entries]:
         world.send(peer, message)
     for req in _below(world, lowest):
@@ -177,7 +181,7 @@
 
 
 def run_timers(world: EntryWorld) -> None:
-    """System: look at the requests whose time has come, and at no others."""
+    """System: handle the requests whose timer has expired."""
     while world.timers and world.timers[0][0] <= world.now:
         _, rid = heapq.heappop(world.timers)
         req = world.requests.get(rid)
@@ -205,8 +209,8 @@
 
 
 def _tell_unclear(world: EntryWorld, req: RequestRow) -> None:
-    """Tell the caller the truth: the agent is out of reach, so nobody knows."""
+    """Refuse a request whose agent is unreachable; whether it ran is unknown."""
     world.counters.unclear += 1
     verdict = committed_verdict(req)
-    detail = f"the agent of {req.agent} is out of reach"
+    detail = f"the agent of {req.agent} is unreachable"
     finish(world, req, Refusal(verdict, Reason.AGENT_UNREACHABLE, detail))
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: one run, whatever dies between two tries."""
+"""Tests that a request with an idempotency key runs once, whatever fails in between."""
 
 import msgspec
 
@@ -26,7 +26,7 @@
     net.steps(4)
 
 
-def test_the_owner_of_a_key_never_runs_it() -> None:
+def test_owner_of_key_does_not_run_its_request() -> None:
     net = new_net(endpoints=3)
     for index in range(20):
         net.put("n0", admit(f"k-{index}", key=True))
@@ -36,7 +36,7 @@
     assert net.dispatched
 
 
-def test_a_retry_through_another_entry_attaches_to_the_run() -> None:
+def test_retry_through_another_entry_attaches_to_run() -> None:
     net = new_net(endpoints=3, entries=2)
     try_key(net, "n0")
     net.frozen.add("n0")
@@ -48,7 +48,7 @@
     assert net.runs_of(RID) == 1
 
 
-def test_a_retry_after_the_end_gets_the_stored_answer() -> None:
+def test_retry_after_end_gets_stored_answer() -> None:
     net = new_net(endpoints=3, entries=2)
     try_key(net, "n0")
     answer(net)
@@ -57,7 +57,7 @@
     assert net.runs_of(RID) == 1
 
 
-def test_a_restarted_owner_learns_what_ran() -> None:
+def test_restarted_owner_rebuilds_claims_from_runs() -> None:
     net = new_net(endpoints=3, entries=2)
     try_key(net, "n0")
     owner = owner_of(net.entries["n1"], RID)
@@ -74,7 +74,7 @@
     assert net.request(RID, "n1").refusal is None
 
 
-def test_a_restarted_owner_answers_nothing_before_it_has_asked() -> None:
+def test_restarted_owner_answers_no_claim_before_rebuild() -> None:
     net = new_net(endpoints=3, entries=2)
     owner = owner_of(net.entries["n0"], RID)
     assert owner is not None
@@ -88,7 +88,7 @@
     assert net.runs_of(RID) == 1
 
 
-def test_an_owner_out_of_reach_gives_an_honest_verdict() -> None:
+def test_unreachable_owner_gives_may_have_run() -> None:
     net = new_net(endpoints=3)
     owner = owner_of(net.entries["n0"], RID)
     assert owner is not None
@@ -101,7 +101,7 @@
     assert refusal.reason is Reason.CLAIM_UNCERTAIN
 
 
-def test_a_bound_run_that_was_never_committed_is_fenced_and_placed_anew() -> None:
+def test_binding_without_commit_is_fenced_and_placed_again() -> None:
     net = new_net(endpoints=3, entries=2)
     net.put("n0", admit(RID, key=True))
     while net.request_phase(RID) is not Phase.BINDING:
@@ -118,7 +118,7 @@
     assert net.runs_of(RID) == 1
 
 
-def test_a_key_used_with_another_body_is_refused() -> None:
+def test_key_reused_with_another_body_is_refused() -> None:
     net = new_net(endpoints=3, entries=2)
     try_key(net, "n0")
     changed = msgspec.structs.replace(admit(RID, key=True), digest="e")
@@ -129,7 +129,7 @@
     assert refusal.reason is Reason.KEY_REUSED
 
 
-def test_a_second_try_at_the_same_entry_takes_over() -> None:
+def test_second_attempt_at_same_entry_supersedes_first() -> None:
     net = new_net(endpoints=3)
     try_key(net, "n0", 2)
     try_key(net, "n0", 12)
@@ -138,8 +138,14 @@
     assert net.runs_of(RID) == 1
 
 
-def test_a_late_refusal_does_not_undo_a_later_binding_to_the_same_agent() -> None:
-    """Found by the model checker: spec/dispatch.pml, rule NO_NUMBER."""
+def test_late_refusal_does_not_undo_later_binding_to_same_agent() -> None:
+    """A refusal counts only against the binding whose number it names.
+
+    Agent ``first`` refuses the expired commit of entry n0, but n0 receives the refusal
+    late. Meanwhile a retry through n1 is bound to ``first`` again and runs there. If n0
+    could then refute that binding, the request would run a second time at ``second``.
+    Found by the model checker: spec/dispatch.pml, rule NO_NUMBER.
+    """
     net = new_net(endpoints=3, entries=2)
     owner = owner_of(net.entries["n0"], RID)
     first, second = sorted(set(net.agents) - {str(owner)})
@@ -164,8 +170,14 @@
     assert net.dispatched == [(first, RID)]
 
 
-def test_a_rebuilt_owner_keeps_every_commit_it_is_told_of() -> None:
-    """Found by the model checker: spec/dispatch.pml, rule NO_OTHERS."""
+def test_rebuilt_owner_keeps_all_reported_commits() -> None:
+    """A rebuilt owner keeps the commits of one key to several agents.
+
+    Two entries may have committed the request to different agents before the restart. If
+    the owner kept one of them only, the key would be free once that one is refuted, while
+    the other may still run the request.
+    Found by the model checker: spec/dispatch.pml, rule NO_OTHERS.
+    """
     net = new_net(endpoints=3)
     world = net.agents["e0"]
     net.restart_agent("e0")
@@ -179,9 +191,9 @@
     net.trace.clear()
     net.put("e0", Claim(rid=RID), "n0")
     net.steps(2)
-    told = [item for _, _, item in net.trace if isinstance(item, ClaimReply)]
-    refuted = told[0].state
+    replies = [item for _, _, item in net.trace if isinstance(item, ClaimReply)]
+    refuted = replies[0].state
     net.put("e0", Claim(rid=RID, refuted=refuted.number), "n0")
     net.steps(2)
-    told = [item for _, _, item in net.trace if isinstance(item, ClaimReply)]
-    assert {told[0].state.agent, told[1].state.agent} == {"e1", "e2"}
+    replies = [item for _, _, item in net.trace if isinstance(item, ClaimReply)]
+    assert {replies[0].state.agent, replies[1].state.agent} == {"e1", "e2"}
--- a/tests/test_commitment.py
+++ b/tests/test_commitment.py
@@ -1,4 +1,4 @@
-"""At most once: what an entry does when it does not know what became of a commit."""
+"""Tests that a request runs at most once when the outcome of a commit is unknown."""
 
 from dockreach.agent_tables import EngineChunk, EngineEnded, EngineNotRun, EngineResumed
 from dockreach.entry_tables import AgentGone, AttachRun, Phase
@@ -9,7 +9,7 @@
 
 
 def committed(net: Net, rid: str = "r1") -> str:
-    """Admit a request and step until it is committed; return the agent."""
+    """Admit a request and step until it is committed; return the agent's name."""
     net.put("n0", admit(rid))
     net.steps(6)
     row = net.request(rid)
@@ -24,7 +24,7 @@
     net.steps(4)
 
 
-def test_a_request_is_answered_whole() -> None:
+def test_request_gets_complete_answer() -> None:
     net = new_net()
     agent = committed(net)
     finish(net, agent, chunks=3)
@@ -34,7 +34,7 @@
     assert net.runs_of("r1") == 1
 
 
-def test_a_lost_commit_is_fenced_before_it_is_sent_again() -> None:
+def test_lost_commit_is_fenced_before_retry() -> None:
     net = new_net()
     net.put("n0", admit("r1"))
     while net.request_phase("r1") is not Phase.COMMITTED:
@@ -50,7 +50,7 @@
     assert [step.event for step in net.request("r1").steps].count("commit") == 2
 
 
-def test_a_cut_after_dispatch_resumes_the_same_run() -> None:
+def test_link_lost_after_dispatch_resumes_same_run() -> None:
     net = new_net()
     agent = committed(net)
     net.put(agent, EngineChunk(Chunk("r1", 0, b"a", 1, 200, "text/plain")))
@@ -68,7 +68,7 @@
     assert net.runs_of("r1") == 1
 
 
-def test_an_agent_out_of_reach_gives_may_have_run_and_no_second_dispatch() -> None:
+def test_unreachable_agent_gives_may_have_run_without_second_dispatch() -> None:
     net = new_net()
     agent = committed(net)
     net.unlink("n0", agent)
@@ -80,7 +80,7 @@
     assert len(net.commits("r1")) == 1
 
 
-def test_a_vm_that_is_gone_is_told_at_once() -> None:
+def test_deleted_vm_ends_request_immediately() -> None:
     net = new_net()
     agent = committed(net)
     net.unlink("n0", agent)
@@ -92,7 +92,7 @@
     assert refusal.verdict is Verdict.MAY_HAVE_RUN
 
 
-def test_a_restarted_agent_that_finds_the_run_continues_it() -> None:
+def test_restarted_agent_resumes_run_known_to_engine() -> None:
     net = new_net()
     agent = committed(net)
     net.restart_agent(agent)
@@ -105,7 +105,7 @@
     assert net.runs_of("r1") == 1
 
 
-def test_a_restarted_agent_whose_engine_knows_nothing_proves_nothing() -> None:
+def test_restarted_agent_without_run_gives_may_have_run() -> None:
     net = new_net()
     agent = committed(net)
     net.restart_agent(agent)
@@ -118,7 +118,7 @@
     assert net.runs_of("r1") == 1
 
 
-def test_an_engine_that_refuses_lets_another_run_it() -> None:
+def test_request_refused_by_engine_is_committed_again() -> None:
     net = new_net()
     agent = committed(net)
     net.put(agent, EngineNotRun("r1"))
@@ -128,7 +128,7 @@
     assert len(net.commits("r1")) == 2
 
 
-def test_a_broken_answer_is_never_passed_off_as_whole() -> None:
+def test_answer_with_missing_chunks_is_not_complete() -> None:
     net = new_net()
     agent = committed(net)
     net.put(agent, EngineChunk(Chunk("r1", 0, b"a", 1, 200, "text/plain")))
@@ -139,7 +139,7 @@
     assert refusal.verdict is Verdict.RAN
 
 
-def test_an_expired_grant_is_refused_and_placed_again() -> None:
+def test_commit_with_expired_grant_is_refused_and_placed_again() -> None:
     net = new_net()
     net.put("n0", admit("r1"))
     net.steps(3)
@@ -155,7 +155,7 @@
     assert len(net.commits("r1")) == 2
 
 
-def test_a_ticket_attaches_only_for_its_own_organisation() -> None:
+def test_ticket_attaches_only_for_its_own_organisation() -> None:
     net = new_net(entries=2)
     agent = committed(net)
     finish(net, agent)
@@ -164,12 +164,12 @@
         net.put("n1", message)
         net.steps(4)
         refusal = net.request("r1", "n1").refusal
-        found = None if refusal is None else refusal.verdict
-        assert found is verdict
+        actual_verdict = None if refusal is None else refusal.verdict
+        assert actual_verdict is verdict
     assert net.runs_of("r1") == 1
 
 
-def test_agents_that_take_no_new_work_are_not_asked_in_a_loop() -> None:
+def test_drained_agents_are_not_sent_holds_in_a_loop() -> None:
     net = new_net()
     for world in net.agents.values():
         world.drained = True
@@ -183,7 +183,7 @@
     assert net.request("r1").phase is Phase.COMMITTED
 
 
-def test_a_pool_that_stays_closed_is_told_with_a_time_to_come_back() -> None:
+def test_request_to_drained_pool_is_refused_with_retry_after() -> None:
     net = new_net()
     for world in net.agents.values():
         world.drained = True
--- a/tests/test_dispatch_machine.py
+++ b/tests/test_dispatch_machine.py
@@ -1,4 +1,4 @@
-"""The decision cores under random faults."""
+"""Property test of the decision cores of entries and agents under random faults."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 
 class Dispatch(RuleBasedStateMachine):
-    """Two entries and three agents; engines run what they are given, and remember.
+    """Two entries and three agents whose engines run dispatched requests and keep them.
 
-    At most one of the three witnesses of a request is lost at a time: a restart waits
-    until the owner of keys has rebuilt what it knew.
+    Owner, agent and entry each know of a request; at most one of the three loses its
+    state at a time, because each restart waits until the claims are rebuilt.
     """
 
     def __init__(self) -> None:
@@ -69,7 +69,7 @@
         agent, rid = data.draw(st.sampled_from(sorted(running)))
         done = self.engine[agent, rid]
         if refuse and done == 0:
-            # The engine did not take it: it is not a run.
+            # The engine refused the request, so this dispatch does not count as a run.
             self.net.dispatched.remove((agent, rid))
             del self.engine[agent, rid]
             self.net.put(agent, EngineNotRun(rid))
--- a/tests/test_granting.py
+++ b/tests/test_granting.py
@@ -1,4 +1,4 @@
-"""An agent's queue: tiers, room, lanes, pressure, and engines that fail."""
+"""Tests of an agent's queue: tiers, slots, lanes, shedding, and engine failures."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Bench:
-    """One agent and the messages that it sends."""
+    """One agent, with the grants and displaced holds that it sent."""
 
     def __init__(self) -> None:
         self.world: AgentWorld = new_agent("e0", 1, 0.0)
@@ -31,7 +31,7 @@
                 self.displaced[message.rid] = message.reason
 
     def fill(self) -> None:
-        """Leave no room, so that holds queue."""
+        """Leave no free slots, so that holds are queued."""
         self.world.model.window = 0.0
         self.world.model.adjusted = 1e9
 
@@ -52,7 +52,7 @@
     )
 
 
-def test_a_higher_tier_is_granted_first() -> None:
+def test_higher_tier_is_granted_first() -> None:
     bench = Bench()
     bench.fill()
     bench.put(hold("low", 2), hold("middle", 1), hold("top", 0))
@@ -60,7 +60,7 @@
     assert bench.granted == ["top", "middle"]
 
 
-def test_organisations_in_a_tier_share_by_weight() -> None:
+def test_organisations_in_tier_get_slots_by_share() -> None:
     bench = Bench()
     bench.fill()
     holds = [hold(f"a{i}", org="a", share=3.0) for i in range(40)]
@@ -72,18 +72,18 @@
     assert from_a == 30
 
 
-def test_a_grant_that_is_given_back_is_not_counted_against_its_organisation() -> None:
+def test_declined_grant_is_not_charged_to_its_organisation() -> None:
     bench = Bench()
     bench.fill()
     bench.put(hold("a1", org="a"), hold("a2", org="a"), hold("b1", org="b"))
     bench.open(1)
-    first = bench.granted[0]
-    number = bench.world.grants[first].number
-    bench.put(Decline(rid=first, number=number))
-    assert bench.granted[1].startswith(first[0])
+    granted_rid = bench.granted[0]
+    number = bench.world.grants[granted_rid].number
+    bench.put(Decline(rid=granted_rid, number=number))
+    assert bench.granted[1].startswith(granted_rid[0])
 
 
-def test_pressure_displaces_the_newest_of_the_lowest_tier() -> None:
+def test_full_queue_displaces_newest_hold_of_lowest_tier() -> None:
     bench = Bench()
     bench.fill()
     bench.world.policy.queue_limit = 2
@@ -95,7 +95,7 @@
     assert bench.displaced["low3"] is Reason.SHED
 
 
-def test_a_floor_refuses_the_tiers_below_it_and_ends() -> None:
+def test_floor_refuses_lower_tiers_until_it_expires() -> None:
     bench = Bench()
     bench.fill()
     bench.put(hold("low", 2), hold("top", 0))
@@ -107,14 +107,14 @@
     assert "low3" not in bench.displaced
 
 
-def test_work_that_can_no_longer_be_in_time_is_told_before_prefill() -> None:
+def test_hold_that_cannot_meet_its_deadline_is_rejected_before_prefill() -> None:
     bench = Bench()
     bench.put(hold("late", tokens=1000, deadline_ms=1000))
     assert bench.displaced == {"late": Reason.HOPELESS}
     assert not bench.granted
 
 
-def test_a_long_request_leaves_a_slot_for_short_ones_of_its_tier() -> None:
+def test_slot_is_reserved_for_short_requests_of_same_tier() -> None:
     bench = Bench()
     bench.fill()
     longs = [hold(f"long{i}", 1, tokens=900) for i in range(6)]
@@ -126,7 +126,7 @@
     assert bench.granted[-1] == "short1"
 
 
-def test_a_higher_tier_leaves_nothing_for_a_lower_one() -> None:
+def test_no_slot_is_reserved_for_lower_tier() -> None:
     bench = Bench()
     bench.fill()
     longs = [hold(f"long{i}", 1, tokens=900) for i in range(6)]
@@ -135,7 +135,7 @@
     assert bench.granted == ["long0", "long1", "long2", "long3"]
 
 
-def test_an_engine_out_of_reach_gets_no_grants_until_it_answers() -> None:
+def test_unreachable_engine_gets_no_grants_until_reachable() -> None:
     bench = Bench()
     bench.put(EngineNotRun("x", unreachable=True))
     bench.put(hold("r1"))
@@ -146,7 +146,7 @@
     assert bench.granted == ["r2"]
 
 
-def test_a_busy_engine_is_left_alone_for_longer_each_time() -> None:
+def test_backoff_of_busy_engine_doubles() -> None:
     bench = Bench()
     for expected in (0.05, 0.1, 0.2):
         bench.put(EngineNotRun("x"))
@@ -157,7 +157,7 @@
     assert bench.granted == ["r1"]
 
 
-def test_only_the_lowest_waiting_tier_is_told_that_it_would_wait_too_long() -> None:
+def test_only_lowest_waiting_tier_is_rejected_for_long_wait() -> None:
     bench = Bench()
     bench.fill()
     many = [hold(f"low{i}", 2, deadline_ms=60_000) for i in range(10)]
@@ -172,7 +172,7 @@
     assert "middle" not in bench.displaced
 
 
-def test_a_suspect_engine_gets_no_grants() -> None:
+def test_suspect_engine_gets_no_grants() -> None:
     bench = Bench()
     bench.world.model.start("running", 10, 20, bench.now)
     bench.put(hold("r1"), seconds=30.0)
@@ -182,7 +182,7 @@
     assert bench.granted == ["r1"]
 
 
-def test_lanes() -> None:
+def test_lane_depends_on_cost() -> None:
     bench = Bench()
     bench.fill()
     bench.put(hold("short", tokens=10), hold("long", tokens=1000, deadline_ms=300_000))
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to endpoints: fenced, derived from declarations, and spread in time."""
+"""Tests of load orders: fenced, derived from declarations, and spread in time."""
 
 from __future__ import annotations
 
@@ -17,32 +17,32 @@
     return parse(body)
 
 
-def test_an_order_is_given_until_the_endpoint_has_what_is_declared() -> None:
-    book = OrderBook("e0", 7)
-    book.declare(versioned(3, count=1), 0.0)
-    order = book.next_order(EndpointState(), 0.0)
+def test_order_is_sent_until_endpoint_has_loaded_what_is_declared() -> None:
+    planner = OrderBook("e0", 7)
+    planner.declare(versioned(3, count=1), 0.0)
+    order = planner.next_order(EndpointState(), 0.0)
     assert order is not None
     assert order.fence == (3, 7, 1)
-    again = book.next_order(EndpointState(), 1.0)
+    again = planner.next_order(EndpointState(), 1.0)
     assert again is not None
     assert again.fence > order.fence
-    assert book.next_order(EndpointState("v2", ("a", "b")), 2.0) is None
-    assert book.next_order(EndpointState(), 3.0) is None
+    assert planner.next_order(EndpointState("v2", ("a", "b")), 2.0) is None
+    assert planner.next_order(EndpointState(), 3.0) is None
 
 
-def test_nothing_declared_gives_no_order() -> None:
-    book = OrderBook("e0", 7)
-    book.declare(declared(1), 0.0)
-    assert book.next_order(EndpointState("old"), 0.0) is None
+def test_no_order_if_nothing_is_declared() -> None:
+    planner = OrderBook("e0", 7)
+    planner.declare(declared(1), 0.0)
+    assert planner.next_order(EndpointState("old"), 0.0) is None
 
 
-def test_a_pool_takes_turns_at_the_weight_store() -> None:
+def test_loads_of_a_pool_are_spread_in_time() -> None:
     declarations = versioned(3)
-    turns = sorted(turn_s(declarations, name) for name in declarations.endpoints)
-    assert turns == [0.0, 0.0, 10.0, 10.0, 20.0, 20.0]
+    delays_s = sorted(turn_s(declarations, name) for name in declarations.endpoints)
+    assert delays_s == [0.0, 0.0, 10.0, 10.0, 20.0, 20.0]
 
 
-def test_an_engine_loads_what_is_declared_and_refuses_an_older_order() -> None:
+def test_engine_loads_what_is_declared_and_refuses_older_order() -> None:
     with Deployment(fleet(1)) as deployment:
         body = deployment.spec.declarations(2).replace(
             "[endpoint engine0]\n", "[endpoint engine0]\nversion=v2\nadapters=legal\n"
@@ -51,8 +51,8 @@
         engine = deployment.engines["engine0"]
 
         def state() -> dict[str, object]:
-            found: dict[str, object] = deployment.get(engine, "/v1/state").json()
-            return found
+            loaded: dict[str, object] = deployment.get(engine, "/v1/state").json()
+            return loaded
 
         wait_until(lambda: state()["version"] == "v2", "the load")
         stale = b'{"version":"v1","adapters":[],"fence":[1,1,1]}'
--- a/tests/test_running.py
+++ b/tests/test_running.py
@@ -1,4 +1,4 @@
-"""An agent's runs: fences, order of chunks, bounded memory, leaving."""
+"""Tests of an agent's runs: fences, order of chunks, memory limits, leaving."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class Bench:
-    """One agent, what it sends, and what it tells its engine."""
+    """One agent, with the messages it sent and the actions it took at its engine."""
 
     def __init__(self) -> None:
         self.world: AgentWorld = new_agent("e0", 1, 0.0)
@@ -67,9 +67,9 @@
 
     def grant(self) -> Grant:
         self.put(HOLD)
-        found = self.of(Grant)[-1]
-        assert isinstance(found, Grant)
-        return found
+        grant = self.of(Grant)[-1]
+        assert isinstance(grant, Grant)
+        return grant
 
     def commit(self, grant: Grant) -> Commit:
         return Commit("r1", grant.number, 1, "POST", "/", b"{}", 60_000)
@@ -82,7 +82,7 @@
     return EngineChunk(Chunk("r1", number, data, 1, 200, "text/plain"))
 
 
-def test_a_fence_voids_a_grant_that_is_still_in_force() -> None:
+def test_fence_voids_grant_before_its_lease_ends() -> None:
     bench = Bench()
     grant = bench.grant()
     bench.put(Attach("r1", 1, "org"), peer="n1")
@@ -94,7 +94,7 @@
     assert not bench.started
 
 
-def test_a_commit_that_comes_twice_runs_once() -> None:
+def test_commit_received_twice_runs_once() -> None:
     bench = Bench()
     commit = bench.commit(bench.grant())
     bench.put(commit, commit)
@@ -102,7 +102,7 @@
     assert bench.started == ["r1"]
 
 
-def test_chunks_leave_in_order_whatever_order_they_came_in() -> None:
+def test_chunks_received_out_of_order_are_sent_in_order() -> None:
     bench = Bench()
     bench.run()
     bench.put(chunk(2), chunk(0))
@@ -114,7 +114,7 @@
     assert end.whole
 
 
-def test_a_slow_reader_is_sent_no_more_than_its_window() -> None:
+def test_slow_reader_is_sent_at_most_its_window() -> None:
     bench = Bench()
     bench.world.policy.reader_window = 1000
     bench.run()
@@ -124,7 +124,7 @@
     assert len(bench.of(Chunk)) == 20
 
 
-def test_stored_answers_stay_within_their_memory_and_ran_is_remembered() -> None:
+def test_stored_answers_stay_within_memory_limit_and_run_stays_known() -> None:
     bench = Bench()
     bench.world.policy.answer_bytes = 100
     bench.run()
@@ -138,7 +138,7 @@
     assert end.reason is Reason.ANSWER_DROPPED
 
 
-def test_unread_chunks_are_never_dropped() -> None:
+def test_unacknowledged_chunks_are_never_dropped() -> None:
     bench = Bench()
     bench.world.policy.answer_bytes = 100
     bench.run()
@@ -147,7 +147,7 @@
     assert bench.world.kept_bytes == 1000
 
 
-def test_the_last_reader_that_leaves_cancels_the_run() -> None:
+def test_run_is_cancelled_only_by_its_last_reader() -> None:
     bench = Bench()
     bench.run()
     bench.put(Attach("r1", 1, "org"), peer="n1")
@@ -157,7 +157,7 @@
     assert bench.cancelled == ["r1"]
 
 
-def test_a_run_outlives_its_entry_and_ends_only_past_its_deadline() -> None:
+def test_run_without_entry_is_cancelled_only_after_its_deadline() -> None:
     bench = Bench()
     bench.run()
     bench.put(PeerDown())
@@ -167,17 +167,17 @@
     assert bench.cancelled == ["r1"]
 
 
-def test_a_leaving_agent_gives_holds_back_and_takes_none() -> None:
+def test_leaving_agent_displaces_new_holds() -> None:
     bench = Bench()
     bench.world.leaving = True
     bench.put(HOLD)
-    gone = bench.of(Displaced)[-1]
-    assert isinstance(gone, Displaced)
-    assert gone.reason is Reason.STOPPING
+    displaced = bench.of(Displaced)[-1]
+    assert isinstance(displaced, Displaced)
+    assert displaced.reason is Reason.STOPPING
     assert not bench.of(Grant)
 
 
-def test_a_grant_given_before_leaving_is_honoured() -> None:
+def test_grant_sent_before_leaving_stays_valid() -> None:
     bench = Bench()
     grant = bench.grant()
     bench.world.leaving = True
@@ -185,11 +185,11 @@
     assert bench.started == ["r1"]
 
 
-def test_a_commit_under_another_entrys_grant_is_refused() -> None:
+def test_commit_with_superseded_grant_of_another_entry_is_refused() -> None:
     bench = Bench()
-    first = bench.grant()
+    first_grant = bench.grant()
     bench.put(HOLD, peer="n1")
     assert bench.of(Grant, "n1")
-    bench.put(bench.commit(first))
+    bench.put(bench.commit(first_grant))
     assert bench.of(Refused)
     assert not bench.started
--- a/tests/test_shedding.py
+++ b/tests/test_shedding.py
@@ -1,4 +1,4 @@
-"""Pressure at entries: lower tiers first, in every place that sheds."""
+"""Tests of load shedding at entries: lower tiers are always shed first."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def closed_net(entries: int = 1) -> Net:
-    """Return a net whose engines have no room."""
+    """Return entries and agents whose engines have no free slots."""
     net = new_net(entries=entries)
     for world in net.agents.values():
         world.model.window = 0.0
@@ -29,7 +29,7 @@
     return None if refusal is None else refusal.reason
 
 
-def test_memory_raises_the_floor_before_it_sheds_a_higher_tier() -> None:
+def test_floor_rises_before_memory_sheds_a_higher_tier() -> None:
     net = closed_net(entries=2)
     net.entries["n0"].policy.waiting_bytes = 1000
     net.put("n1", big("far", 2))
@@ -49,7 +49,7 @@
     assert reason(net, "late", "n1") is Reason.FLOOR
 
 
-def test_memory_that_is_full_sheds_the_newest_of_the_lowest_tier() -> None:
+def test_full_memory_sheds_newest_request_of_lowest_tier() -> None:
     net = closed_net()
     net.entries["n0"].policy.waiting_bytes = 1000
     net.entries["n0"].policy.floor_at = 10.0
@@ -62,7 +62,7 @@
     assert net.request("top").phase is Phase.WAITING
 
 
-def test_a_request_is_shed_only_if_every_agent_displaced_it() -> None:
+def test_request_is_shed_only_after_every_agent_displaced_it() -> None:
     net = closed_net()
     first, second = net.agents.values()
     first.policy.queue_limit = 1
@@ -77,7 +77,7 @@
     assert net.request("top").phase is Phase.WAITING
 
 
-def test_a_shed_request_is_told_not_run_and_when_to_come_back() -> None:
+def test_shed_request_gets_not_run_verdict_and_retry_after() -> None:
     net = closed_net()
     for world in net.agents.values():
         world.policy.queue_limit = 0
@@ -89,7 +89,7 @@
     assert refusal.retry_after_s
 
 
-def test_a_deadline_that_passes_while_waiting_is_not_run() -> None:
+def test_request_that_misses_deadline_while_waiting_is_not_run() -> None:
     net = closed_net()
     net.put("n0", admit("a", deadline=2.0))
     net.steps(8, 0.5)
@@ -100,7 +100,7 @@
     assert net.runs_of("a") == 0
 
 
-def test_a_caller_that_leaves_while_waiting_leaves_nothing_behind() -> None:
+def test_caller_leaving_while_waiting_removes_all_state() -> None:
     net = closed_net()
     net.put("n0", admit("a"))
     net.steps(2)
@@ -112,7 +112,7 @@
     assert all(not item.holds for item in net.agents.values())
 
 
-def test_a_caller_that_leaves_cancels_what_was_committed() -> None:
+def test_caller_leaving_cancels_committed_request() -> None:
     net = new_net()
     net.put("n0", admit("a"))
     net.steps(6)
