--- a/dockreach/agent_node.py
+++ b/dockreach/agent_node.py
@@ -47,7 +47,10 @@
 PROBE_EVERY_S = 1.0
 CACHE_EVERY_S = 0.5
 DEFAULT_GAP_S = 0.039
+"""Objective for the gap between two tokens if no tier is declared."""
+
 READ_AHEAD_BYTES = 512 << 10
+"""Unacknowledged bytes of a run at which reading from the engine stops."""
 
 
 class AgentNode(Node):
--- a/dockreach/agent_tables.py
+++ b/dockreach/agent_tables.py
@@ -38,7 +38,8 @@
             dispatched.
         decline_pause_s: Delay before a declined hold is queued again; it doubles with
             each decline.
-        orphan_s: How long a run without readers continues at least.
+        orphan_s: Minimum time that a run without readers continues; it is not cancelled
+            before its deadline either.
     """
 
     grant_lease_s: float = 1.0
@@ -67,8 +68,8 @@
     """How far a run's answer was delivered to one entry.
 
     Attributes:
-        sent: Number of chunks sent.
-        acked: Number of chunks acknowledged by the entry.
+        sent: Number of the next chunk to send.
+        acked: Number up to which, exclusive, the entry has acknowledged the chunks.
         told_end: Whether the end of the run was sent.
     """
 
@@ -134,7 +135,7 @@
 
     Attributes:
         waiting: Entries that have not answered completely.
-        silent: Agents that no entry could ask.
+        silent: Agents that an entry could not ask.
         young_entries: Whether an entry started less than the retention time ago.
         done: Whether all linked entries have answered.
     """
@@ -240,7 +241,14 @@
 
 @dataclass(slots=True)
 class AgentCounters:
-    """Monotonic counters; each is exported as a metric under its field name."""
+    """Monotonic counters; each is exported as a metric under its field name.
+
+    Attributes:
+        hopeless: Holds rejected early because they would miss their deadline.
+        whole: Runs that ended with a complete answer.
+        broken: Runs that ended without one.
+        cache_gaps: Times that cache events of the engine were missed.
+    """
 
     holds: int = 0
     grants: int = 0
--- a/dockreach/claims.py
+++ b/dockreach/claims.py
@@ -191,7 +191,7 @@
 
     The state of that incarnation is lost, but the agents that ran requests and the
     entries that committed them still know. A run can be unknown to all only if some of
-    each are missing too: agents that could not be asked, and entries that have started
+    each are missing too: an entry could not ask some agents, and an entry has started
     within the retention time.
     """
     if world.now - world.started > world.policy.retention_s:
