--- a/dockreach/answers.py
+++ b/dockreach/answers.py
@@ -53,7 +53,7 @@
     if not req.end.whole:
         reason = req.end.reason or Reason.ENGINE_LOST
         verdict = shedding.committed_verdict(req)
-        shedding.finish(world, req, Refusal(verdict, reason, "the answer is incomplete"))
+        shedding.finish(world, req, Refusal(verdict, reason, "the response is incomplete"))
         return
     if req.next_chunk < req.end.chunks:
         return
--- a/dockreach/entry_node.py
+++ b/dockreach/entry_node.py
@@ -115,7 +115,11 @@
         return next_wake(self.world)
 
     def on_declarations(self, declarations: Declarations) -> None:
-        """Apply declarations. The first ones apply at once, as nothing replaces them."""
+        """Pass new declarations to the core.
+
+        Larger shares of limits wait until all entries have the declarations, except for the
+        first declarations after a start.
+        """
         first = self.world.declarations is _NO_DECLARATIONS
         settle = 0.0 if first else SETTLE_S
         self.ticker.put("", Configured(declarations, settle))
@@ -303,7 +307,7 @@
             text = f"Configurations refused: {name}"
             value = getattr(self.config, name)
             yield Sample(f"dockreach_config_{name}_total", text, value, {})
-        text = "Revision in force"
+        text = "Current configuration revision"
         revision = self.config.revision
         yield Sample("dockreach_config_revision", text, revision, {}, counter=False)
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -47,7 +47,7 @@
 
 
 def test_request_of_a_lost_agent_gets_an_uncertain_verdict(pair: Deployment) -> None:
-    """Without the agent, nobody can prove that the request did not run."""
+    """Without the agent, there is no proof that the request did not run."""
     caller = Caller(pair, tokens=400, stream=False)
     engine = running(pair)
     pair.agents[engine].kill()
