--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Runs many soaks by hand: ``python -m tests.soak --seeds 50``."""
+"""Runs many soaks from the command line: ``python -m tests.soak --seeds 50``."""
 
 from __future__ import annotations
 
@@ -15,19 +15,23 @@
 from .world import ENTRIES
 
 SIDE_BY_SIDE = 4
-"""Soaks at a time: each has four busy processes."""
+"""Soaks that run at the same time: each has four busy processes."""
 
 
 @click.command()
-@click.option("--seeds", default=8, help="How many soaks.")
-@click.option("--first", type=int, help="The first seed; drawn if it is left out.")
-@click.option("--seconds", default=10.0, help="How long faults come in each.")
-@click.option("--entries", default=ENTRIES, help="Entries in each; many run alone.")
+@click.option("--seeds", default=8, help="Number of soaks.")
+@click.option("--first", type=int, help="First seed; random if left out.")
+@click.option("--seconds", default=10.0, help="How long faults are injected.")
+@click.option("--entries", default=ENTRIES, help="Entries per soak; many run alone.")
 @click.option("--lives", "theme", flag_value=Theme.LIVES, type=Theme, help="Restarts.")
-@click.option("--deadly", "theme", flag_value=Theme.DEADLY, type=Theme, help="Crashers.")
-@click.option("--notices", "theme", flag_value=Theme.NOTICES, type=Theme, help="Limits.")
-@click.option("--all", "theme", flag_value=Theme.ALL, type=Theme, help="All of these.")
-@click.option("--one", type=int, help="Run this seed alone, in this process.")
+@click.option(
+    "--deadly", "theme", flag_value=Theme.DEADLY, type=Theme, help="Crashing requests."
+)
+@click.option(
+    "--notices", "theme", flag_value=Theme.NOTICES, type=Theme, help="Status notices."
+)
+@click.option("--all", "theme", flag_value=Theme.ALL, type=Theme, help="All three.")
+@click.option("--one", type=int, help="Run only this seed, in this process.")
 def main(
     seeds: int,
     first: int | None,
@@ -36,24 +40,24 @@
     theme: Theme | None,
     one: int | None,
 ) -> None:
-    """Run soaks with fresh seeds, some side by side; exit with 1 if one broke a promise."""
-    about = theme or Theme.ORDINARY
+    """Run soaks with new seeds, some in parallel; exit with 1 if one fails."""
+    chosen = theme or Theme.ORDINARY
     if one is not None:
-        sys.exit(_run_one(one, seconds, entries, about))
+        sys.exit(_run_one(one, seconds, entries, chosen))
     start = secrets.randbelow(10**6) if first is None else first
-    todo = list(range(start, start + seeds))
+    remaining = list(range(start, start + seeds))
     failed = []
-    while todo:
+    while remaining:
         count = max(SIDE_BY_SIDE * ENTRIES // entries, 1)
-        batch, todo = todo[:count], todo[count:]
-        running = [(seed, _spawn(seed, seconds, entries, about)) for seed in batch]
+        batch, remaining = remaining[:count], remaining[count:]
+        running = [(seed, _spawn(seed, seconds, entries, chosen)) for seed in batch]
         for seed, process in running:
             output, _ = process.communicate()
             click.echo(output.decode(), nl=False)
             if process.returncode:
                 failed.append(seed)
     click.echo(
-        f"{seeds - len(failed)} of {seeds} soaks kept every promise; failed: {failed}"
+        f"{seeds - len(failed)} of {seeds} soaks held all invariants; failed: {failed}"
     )
     sys.exit(1 if failed else 0)
 
@@ -73,8 +77,8 @@
 def _run_one(seed: int, seconds: float, entries: int, theme: Theme) -> int:
     with tempfile.TemporaryDirectory() as folder:
         result = soak(seed, seconds, Path(folder), entries, theme=theme)
-    late = f", itself late for {result.late_s:.1f} s" if result.late_s else ""
-    click.echo(f"seed {seed}: {result.served} of {result.asked} requests served{late}")
+    stalled = f", own process stalled for {result.late_s:.1f} s" if result.late_s else ""
+    click.echo(f"seed {seed}: {result.served} of {result.asked} requests served{stalled}")
     if not result.broken:
         return 0
     for line in [*result.broken, *result.faults, *result.logs]:
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,4 +1,4 @@
-"""Callers that keep their connections, and what each of their requests came to."""
+"""Callers with persistent connections, and the outcome of each of their requests."""
 
 from __future__ import annotations
 
@@ -13,82 +13,95 @@
 from eventlet.green import socket
 
 WAIT_S = 4.0
-"""How long a caller waits for an answer, in seconds."""
+"""How long a caller waits for a response, in seconds."""
 
 PAUSE_S = 0.1
 """Longest pause of a caller between requests, in seconds."""
 
 LEAVING = 0.08
-"""Part of the requests whose callers do not wait for the answer."""
+"""Fraction of the requests whose callers leave before the response."""
 
 LEAVE_S = 0.3
 """Longest time after which such a caller closes its connection, in seconds."""
 
 HOT_PART = 0.2
-"""Part of the requests that are the same ones, where others differ by their bodies."""
+"""Fraction of the requests with an empty body, where others have distinct bodies."""
 
 DEADLY = b"deadly "
-"""How a body begins that ends each endpoint that begins to work on it."""
+"""Prefix of bodies that crash every endpoint that starts to work on them."""
 
 DEADLY_BODIES = 2
 DEADLY_GAP_S = (0.1, 0.8)
-"""Shortest and longest time between tries of such a body, in seconds."""
+"""Shortest and longest time between requests with such a body, in seconds."""
 
 DEADLY_COPIES = (0, 0, 0, 1, 4)
-"""How many more copies of it come at the same moment; one is drawn each time."""
+"""Numbers of extra copies sent at the same moment; one is drawn each time."""
 
 DEADLY_LEAVING = 0.3
-"""Part of those tries whose callers do not wait for the answer."""
+"""Fraction of those requests whose callers leave before the response."""
 
 DEADLY_LEAVE_S = 0.04
-"""Longest time after which such a caller leaves, in seconds: the endpoint ends after 0.02 s
-of work."""
+"""Longest time after which such a caller leaves, in seconds: the endpoint crashes after
+0.02 s of work."""
 
 KINDS = ("once", "safe", "draft", "brief", "new")
-"""Routes; ``new`` stands for one that a configuration added a moment ago."""
+"""Kinds of routes; ``new`` stands for one that a recent configuration added."""
 
 
 @dataclass(slots=True)
 class Outcome:
-    """One request of a caller.
+    """One request of a caller and its result.
 
     Attributes:
-        status: 0 if no head of an answer came.
-        is_whole: Whether the answer ended as a whole one does.
-        sent: Steady time at which it was sent, in seconds.
-        ended: Steady time at which it was over, in seconds.
-        path: Where it is sent, if not to the route of its kind.
+        rid: The id of the request.
+        kind: The kind of route, one of `ROUTE_KINDS`.
+        entry: Name of the entry to which it was sent.
+        sent_at: Monotonic time at which it was sent, in seconds.
+        status: Status of the response; 0 if no response head was received.
+        is_whole: Whether the response was complete.
+        ended: Monotonic time at which the exchange ended, in seconds.
+        retry_after: The response's Retry-After header; empty if it had none.
+        trouble: The exception that ended the exchange; empty if there was none.
+        path: The target path, if not that of the route of its kind.
         patience_s: How long its caller waits, in seconds.
-        left: Steady time at which its caller gave it up, in seconds; 0 if it did not.
-        sent_body: Its body.
-        is_deadly: Whether the body ends each endpoint that begins it.
+        abandoned_at: Monotonic time at which its caller left, in seconds; 0 if it did not.
+        is_deadly: Whether its body crashes every endpoint that starts it.
     """
 
     rid: str
     kind: str
     entry: str
-    sent: float
+    sent_at: float
     status: int = 0
-    body: bytes = b""
+    response_body: bytes = b""
     is_whole: bool = False
     ended: float = 0.0
     retry_after: str = ""
     trouble: str = ""
     path: str = ""
     patience_s: float = WAIT_S
-    left: float = 0.0
+    abandoned_at: float = 0.0
     sent_body: bytes = b""
     is_deadly: bool = False
 
     @property
     def left_early(self) -> bool:
-        """Whether its caller left before an answer was due."""
-        return bool(self.left) and self.patience_s < WAIT_S
+        """Whether its caller left earlier than `RESPONSE_TIMEOUT_S`."""
+        return bool(self.abandoned_at) and self.patience_s < WAIT_S
 
 
 @dataclass(slots=True)
 class Callers:
-    """All callers and what they saw."""
+    """All callers and the outcomes of their requests.
+
+    Attributes:
+        addresses: Returns the name and address of each entry.
+        added: Returns the newest configuration version that every entry must have applied.
+        rng: Draws the requests.
+        pause_s: Longest pause of a caller between requests, in seconds.
+        is_over: Whether callers stop after their current request.
+        has_bodies: Whether most requests have bodies that differ from each other.
+    """
 
     addresses: Callable[[], list[tuple[str, str]]]
     added: Callable[[], int]
@@ -97,11 +110,10 @@
     outcomes: list[Outcome] = field(default_factory=list)
     is_over: bool = False
     has_bodies: bool = False
-    """Whether most requests differ from each other by their bodies."""
     _count: int = 0
 
     def run_one(self, key: str) -> None:
-        """Be one caller until the soak is over."""
+        """Send requests as one caller until the soak stops."""
         conn: _Connection | None = None
         while not self.is_over:
             eventlet.sleep(self.rng.uniform(0.0, self.pause_s))
@@ -116,10 +128,10 @@
             self.outcomes.append(outcome)
 
     def run_deadly(self, key: str, for_s: float) -> None:
-        """Ask for requests that end their endpoints, one body after the other."""
+        """Send requests that crash their endpoints, one body after the other."""
         until = time.monotonic() + for_s
         bodies = [DEADLY + str(number).encode() for number in range(DEADLY_BODIES)]
-        # Of their own, so that a seed draws all else as without them.
+        # A separate generator: copies must not change what the seed draws otherwise.
         copies = random.Random(DEADLY_BODIES)
         for number, body in enumerate(bodies, start=1):
             while time.monotonic() < until - for_s * (1 - number / DEADLY_BODIES):
@@ -164,12 +176,16 @@
         self._http = h11.Connection(h11.CLIENT)
 
     def ask(self, outcome: Outcome, key: str) -> bool:
-        """Send one request and read its answer; return whether to go on here."""
+        """Send a request and read its response.
+
+        Returns:
+            Whether the connection can be used for another request.
+        """
         try:
             with eventlet.Timeout(outcome.patience_s):
                 return self._ask(outcome, key)
         except eventlet.Timeout as exc:
-            outcome.left = time.monotonic()
+            outcome.abandoned_at = time.monotonic()
             outcome.trouble = repr(exc)
         except (OSError, h11.ProtocolError) as exc:
             outcome.trouble = repr(exc)
@@ -212,12 +228,12 @@
                 headers = dict(event.headers)
                 outcome.retry_after = headers.get(b"retry-after", b"").decode()
             elif isinstance(event, h11.Data):
-                outcome.body += bytes(event.data)
+                outcome.response_body += bytes(event.data)
             elif isinstance(event, h11.EndOfMessage):
                 outcome.is_whole = True
                 return
             elif isinstance(event, h11.ConnectionClosed):
-                raise OSError("closed without an answer")
+                raise OSError("connection closed before the response was complete")
 
     def close(self) -> None:
         """Close the connection."""
--- a/tests/soak/entries.py
+++ b/tests/soak/entries.py
@@ -1,4 +1,4 @@
-"""Entries as processes of their own, and the signals that they are sent."""
+"""Entries that run as separate processes, and signals to them."""
 
 from __future__ import annotations
 
@@ -24,30 +24,31 @@
 READY_PORT = 18224
 CONTROL_PORT = 18229
 FIRST_PORT = 17600
-"""Ports are the same for all entries, as on the platform: each has an IP number."""
-
+"""Ports are the same for all entries, as on the platform: each has its own IP address."""
 
 INTERNAL_ERROR = f'"event": {int(Event.INTERNAL_ERROR)},'
 
 NETS = range(40, 240)
+"""Values of the second byte of the loopback addresses that soaks may use."""
 
 
 @contextlib.contextmanager
 def reserved_net() -> Iterator[int]:
-    """Reserve the second part of loopback numbers that no other soak uses.
+    """Reserve a second byte of loopback addresses that no other soak uses.
 
     Raises:
-        OSError: All are in use.
+        OSError: All of them are in use.
     """
     first = os.getpid() % len(NETS)
     nets: list[int] = [*NETS[first:], *NETS[:first]]
     for net in nets:
         with socket.socket() as sock:
-            # Nobody listens on the control port: it is kept as the sign of who uses them.
+            # No program listens on the control port here: holding it marks the addresses as
+            # used.
             if _binds(sock, net):
                 yield net
                 return
-    raise OSError("no loopback numbers are free")
+    raise OSError("no loopback addresses are free")
 
 
 def _binds(sock: socket.socket, net: int) -> bool:
@@ -59,11 +60,12 @@
 
 
 class EntryProcess:
-    """One entry.
+    """One entry that runs as a process and is restarted when it exits.
 
     Attributes:
-        ip: Its own loopback number.
-        unplanned: Exits that nobody asked for, as exit codes.
+        name: The name of the entry.
+        ip: Its own loopback address.
+        unplanned: Exit codes of exits that no signal from the soak caused.
     """
 
     def __init__(self, number: int, net: int, store: str, folder: Path) -> None:
@@ -80,22 +82,22 @@
 
     @property
     def front(self) -> tuple[str, int]:
-        """Where callers connect."""
+        """IP address and port to which callers connect."""
         return self.ip, FRONT_PORT
 
     @property
     def is_running(self) -> bool:
-        """Whether the process lives."""
+        """Whether the process runs."""
         return self._process is not None and self._process.poll() is None
 
     @property
     def is_listening(self) -> bool:
-        """Whether callers can connect: the program's first lines have run."""
+        """Whether callers can connect; the program's first lines have run by then."""
         with socket.socket() as sock:
             return sock.connect_ex(self.front) == 0
 
     def write_settings(self) -> None:
-        """Write the settings file anew."""
+        """Replace the settings file."""
         new = self._settings.with_suffix(".new")
         new.write_text(json.dumps(self._fields()))
         new.replace(self._settings)
@@ -141,7 +143,7 @@
             )
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal, if the process lives."""
+        """Send a signal, if the process runs."""
         if not self.is_running or self._process is None:
             return
         if number in (signal.SIGTERM, signal.SIGKILL):
@@ -149,7 +151,7 @@
         self._process.send_signal(number)
 
     def look(self) -> None:
-        """Note an end that nobody asked for, and start the process again."""
+        """Start the process again if it exited; record the exit if it was unexpected."""
         if self._process is None or self.is_running:
             return
         if not self._is_meant_to_end:
@@ -157,7 +159,7 @@
         self.start()
 
     def end(self) -> None:
-        """End the process for good."""
+        """Kill the process and do not start it again."""
         if self._process is None:
             return
         self.send(signal.SIGCONT)
@@ -166,14 +168,14 @@
         self._process = None
 
     def faults(self) -> list[str]:
-        """Return the faults of the program that its log tells of."""
+        """Return the log lines that report internal errors."""
         if not self._log.exists():
             return []
         lines = self._log.read_text(errors="replace").splitlines()
         return [line for line in lines if INTERNAL_ERROR in line]
 
     def tail(self, lines: int = 12) -> str:
-        """Return the last lines of its log."""
+        """Return the last lines of the log."""
         if not self._log.exists():
             return ""
         return "\n".join(self._log.read_text(errors="replace").splitlines()[-lines:])
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,8 @@
-"""The faults of a soak: each is a function of the world, drawn by the seed."""
+"""The faults of a soak.
+
+Each is a function of the cluster, and the seed determines which ones are drawn. Reports
+print their names.
+"""
 
 from __future__ import annotations
 
@@ -19,11 +23,11 @@
 Fault = Callable[[World], None]
 
 AFTER_S = 1.5
-"""How long after a fault of an entry its answers may still be cut, in seconds: it is
-started again within 0.2 s and needs up to a second on a busy machine."""
+"""How long after a fault of an entry its responses may still be cut, in seconds: it is
+restarted within 0.2 s and needs up to a second on a busy machine."""
 
 AWAY_S = 0.05
-"""Time between looks for an endpoint while all are away, in seconds."""
+"""Interval between checks for an endpoint while none runs, in seconds."""
 
 SIGNALS = (
     signal.SIGHUP,
@@ -34,190 +38,190 @@
 )
 
 
-def _entry(world: World) -> EntryProcess:
-    return world.rng.choice(world.entries)
+def _entry(cluster: World) -> EntryProcess:
+    return cluster.rng.choice(cluster.entries)
 
 
-def _worker_name(world: World) -> str:
-    """Draw an endpoint; wait for one where crashes in a row have taken all of them."""
-    while not world.workers:
+def _worker_name(cluster: World) -> str:
+    """Draw an endpoint; wait for one if consecutive crashes left none."""
+    while not cluster.workers:
         eventlet.sleep(AWAY_S)
-    return world.rng.choice(sorted(world.workers))
+    return cluster.rng.choice(sorted(cluster.workers))
 
 
-def _kill(world: World) -> None:
-    entry = _entry(world)
-    world.harmed(entry.name, AFTER_S)
+def _kill(cluster: World) -> None:
+    entry = _entry(cluster)
+    cluster.harmed(entry.name, AFTER_S)
     entry.send(signal.SIGKILL)
 
 
-def _kill_all(world: World) -> None:
-    world.harmed("", AFTER_S)
-    for entry in world.entries:
+def _kill_all(cluster: World) -> None:
+    cluster.harmed("", AFTER_S)
+    for entry in cluster.entries:
         entry.send(signal.SIGKILL)
 
 
-def _stop(world: World) -> None:
-    entry = _entry(world)
-    world.stopped(entry.name, GRACE_S)
+def _stop(cluster: World) -> None:
+    entry = _entry(cluster)
+    cluster.stopped(entry.name, GRACE_S)
     entry.send(signal.SIGTERM)
 
 
-def _pause(world: World) -> None:
-    entry = _entry(world)
-    for_s = world.rng.uniform(0.2, 2.0)
-    world.harmed(entry.name, for_s + AFTER_S)
+def _pause(cluster: World) -> None:
+    entry = _entry(cluster)
+    for_s = cluster.rng.uniform(0.2, 2.0)
+    cluster.harmed(entry.name, for_s + AFTER_S)
     entry.send(signal.SIGSTOP)
     eventlet.sleep(for_s)
     entry.send(signal.SIGCONT)
 
 
-def _change_settings(world: World) -> None:
-    entry = _entry(world)
+def _change_settings(cluster: World) -> None:
+    entry = _entry(cluster)
     entry.write_settings()
-    # Until the interpreter runs the program's first lines SIGHUP ends any process. The
-    # program reads the file afterwards, so that the signal tells it nothing then.
+    # SIGHUP ends the process until the interpreter has run the program's first lines. The
+    # program reads the settings file after that, so it needs no signal before.
     if entry.is_listening:
         entry.send(signal.SIGHUP)
 
 
-def _configure(world: World) -> None:
-    for _ in range(world.rng.randint(1, 4)):
-        world.configure()
-        eventlet.sleep(world.rng.uniform(0.0, 0.5))
+def _configure(cluster: World) -> None:
+    for _ in range(cluster.rng.randint(1, 4)):
+        cluster.configure()
+        eventlet.sleep(cluster.rng.uniform(0.0, 0.5))
 
 
-def _replace_worker(world: World) -> None:
-    world.replace_worker(_worker_name(world))
+def _replace_worker(cluster: World) -> None:
+    cluster.replace_worker(_worker_name(cluster))
 
 
-def _crash_worker(world: World) -> None:
-    world.crash_worker(_worker_name(world))
+def _crash_worker(cluster: World) -> None:
+    cluster.crash_worker(_worker_name(cluster))
 
 
-def _sick_worker(world: World) -> None:
-    worker = world.workers[_worker_name(world)]
-    worker.failing = world.rng.choice((0.0, 0.3))
-    worker.slowness = world.rng.choice((1.0, 8.0))
+def _sick_worker(cluster: World) -> None:
+    worker = cluster.workers[_worker_name(cluster)]
+    worker.failing = cluster.rng.choice((0.0, 0.3))
+    worker.slowness = cluster.rng.choice((1.0, 8.0))
     eventlet.sleep(2.0)
     worker.failing = 0.0
     worker.slowness = 1.0
 
 
-def _harm_worker(world: World) -> None:
-    worker = world.workers[_worker_name(world)]
-    for_s = world.rng.uniform(0.3, 2.0)
-    world.harmed("", for_s + AFTER_S)
-    worker.proxy.harm(_any_harm(world))
+def _harm_worker(cluster: World) -> None:
+    worker = cluster.workers[_worker_name(cluster)]
+    for_s = cluster.rng.uniform(0.3, 2.0)
+    cluster.harmed("", for_s + AFTER_S)
+    worker.proxy.harm(_any_harm(cluster))
     eventlet.sleep(for_s)
     worker.proxy.harm(Harm.NONE)
 
 
-def _harm_callers(world: World) -> None:
-    number = world.rng.randrange(len(world.entries))
-    for_s = world.rng.uniform(0.3, 1.5)
-    world.harmed(world.entries[number].name, for_s + AFTER_S)
-    world.callers_proxies[number].harm(_any_harm(world))
+def _harm_callers(cluster: World) -> None:
+    number = cluster.rng.randrange(len(cluster.entries))
+    for_s = cluster.rng.uniform(0.3, 1.5)
+    cluster.harmed(cluster.entries[number].name, for_s + AFTER_S)
+    cluster.callers_proxies[number].harm(_any_harm(cluster))
     eventlet.sleep(for_s)
-    world.callers_proxies[number].harm(Harm.NONE)
+    cluster.callers_proxies[number].harm(Harm.NONE)
 
 
-def _harm_store_link(world: World) -> None:
-    proxy = world.rng.choice(world.store_proxies)
-    for_s = world.rng.uniform(0.5, 3.0)
-    world.harm_store(for_s)
-    proxy.harm(_any_harm(world))
+def _harm_store_link(cluster: World) -> None:
+    proxy = cluster.rng.choice(cluster.store_proxies)
+    for_s = cluster.rng.uniform(0.5, 3.0)
+    cluster.harm_store(for_s)
+    proxy.harm(_any_harm(cluster))
     eventlet.sleep(for_s)
     proxy.harm(Harm.NONE)
 
 
-def _harm_store(world: World) -> None:
-    for_s = world.rng.uniform(0.5, 3.0)
-    world.harm_store(for_s)
-    world.store.failure_mode = world.rng.choice((503, 429, "silent", "reset"))
-    world.store.end_watches()
+def _harm_store(cluster: World) -> None:
+    for_s = cluster.rng.uniform(0.5, 3.0)
+    cluster.harm_store(for_s)
+    cluster.store.failure_mode = cluster.rng.choice((503, 429, "silent", "reset"))
+    cluster.store.end_watches()
     eventlet.sleep(for_s)
-    world.store.failure_mode = ""
+    cluster.store.failure_mode = ""
 
 
-def _mute_store_links(world: World) -> None:
-    world.harm_store(0.0)
-    for proxy in world.store_proxies:
+def _mute_store_links(cluster: World) -> None:
+    cluster.harm_store(0.0)
+    for proxy in cluster.store_proxies:
         proxy.mute()
 
 
-def _mute_workers(world: World) -> None:
-    # Requests under way are lost, at the latest when their callers give them up.
-    world.harmed("", WAIT_S)
-    for worker in world.workers.values():
+def _mute_workers(cluster: World) -> None:
+    # Requests in flight are lost, at the latest when their callers time out.
+    cluster.harmed("", WAIT_S)
+    for worker in cluster.workers.values():
         worker.proxy.mute()
 
 
-def _mute_all(world: World) -> None:
-    _mute_store_links(world)
-    _mute_workers(world)
+def _mute_all(cluster: World) -> None:
+    _mute_store_links(cluster)
+    _mute_workers(cluster)
 
 
-def _signals(world: World) -> None:
-    """Send one entry signals in a row: changed settings, pauses, two stops, a kill."""
-    entry = _entry(world)
-    world.stopped(entry.name, GRACE_S)
-    world.harmed(entry.name, GRACE_S + AFTER_S)
-    for number in world.rng.choices(SIGNALS, k=world.rng.randint(2, 5)):
+def _signals(cluster: World) -> None:
+    """Send one entry several signals: settings changes, pauses, stops or kills."""
+    entry = _entry(cluster)
+    cluster.stopped(entry.name, GRACE_S)
+    cluster.harmed(entry.name, GRACE_S + AFTER_S)
+    for number in cluster.rng.choices(SIGNALS, k=cluster.rng.randint(2, 5)):
         if entry.is_listening:
             entry.send(number)
-        eventlet.sleep(world.rng.uniform(0.0, 0.4))
+        eventlet.sleep(cluster.rng.uniform(0.0, 0.4))
     entry.send(signal.SIGCONT)
 
 
-def _forget_history(world: World) -> None:
-    world.harm_store(0.5)
-    world.store.compact_history()
+def _forget_history(cluster: World) -> None:
+    cluster.harm_store(0.5)
+    cluster.store.compact_history()
 
 
-def _restart_worker(world: World) -> None:
-    name = _worker_name(world)
-    world.restart_worker(name, is_dark=world.rng.random() < 0.5)
+def _restart_worker(cluster: World) -> None:
+    name = _worker_name(cluster)
+    cluster.restart_worker(name, is_dark=cluster.rng.random() < 0.5)
 
 
-def _empty_hall(world: World) -> None:
-    for_s = world.rng.choice((0.0, 0.5, 4.0))
-    world.empty_hall(world.rng.choice(HALLS), for_s)
+def _empty_hall(cluster: World) -> None:
+    for_s = cluster.rng.choice((0.0, 0.5, 4.0))
+    cluster.empty_hall(cluster.rng.choice(HALLS), for_s)
 
 
-def _spoil_entry(world: World) -> None:
-    value = world.rng.choice((b"", b"{}", b"\xff", endpoint_record(slots=0)))
-    world.spoil_entry(_worker_name(world), value, world.rng.uniform(0.3, 1.5))
+def _spoil_entry(cluster: World) -> None:
+    value = cluster.rng.choice((b"", b"{}", b"\xff", endpoint_record(slots=0)))
+    cluster.spoil_entry(_worker_name(cluster), value, cluster.rng.uniform(0.3, 1.5))
 
 
-def _any_harm(world: World) -> Harm:
-    return world.rng.choice([harm for harm in Harm if harm is not Harm.NONE])
+def _any_harm(cluster: World) -> Harm:
+    return cluster.rng.choice([harm for harm in Harm if harm is not Harm.NONE])
 
 
-def _name_limit(world: World) -> None:
-    """Let an endpoint name a limit for a while, without it being slower."""
-    worker = world.workers[_worker_name(world)]
-    for_s = world.rng.uniform(2.0, 8.0)
-    worker.limit = world.rng.choice((0.0, 0.5, 1.0, 2.5, 8.0))
+def _name_limit(cluster: World) -> None:
+    """Let an endpoint advertise a limit for a while, without being slower."""
+    worker = cluster.workers[_worker_name(cluster)]
+    for_s = cluster.rng.uniform(2.0, 8.0)
+    worker.limit = cluster.rng.choice((0.0, 0.5, 1.0, 2.5, 8.0))
     worker.limited_until = time.monotonic() + for_s
     eventlet.sleep(for_s)
 
 
-def _leave_by_word(world: World) -> None:
-    """Let an endpoint say that it leaves, and the store say so much later."""
-    worker = world.workers[_worker_name(world)]
+def _leave_by_word(cluster: World) -> None:
+    """Let an endpoint announce that it leaves before the store lists it as draining."""
+    worker = cluster.workers[_worker_name(cluster)]
     worker.is_leaving = True
-    eventlet.sleep(world.rng.uniform(0.0, 5.0))
-    if world.workers.get(worker.name) is worker:
-        world.replace_worker(worker.name)
+    eventlet.sleep(cluster.rng.uniform(0.0, 5.0))
+    if cluster.workers.get(worker.name) is worker:
+        cluster.replace_worker(worker.name)
 
 
-def _ask_for_rest(world: World) -> None:
-    """Let an endpoint turn requests away, and ask whoever sent them for rest."""
-    worker = world.workers[_worker_name(world)]
-    worker.rest_s = world.rng.choice((0.0, 0.7, 3.0))
-    worker.turning_away = world.rng.choice((0.3, 1.0))
-    eventlet.sleep(world.rng.uniform(0.5, 4.0))
+def _ask_for_rest(cluster: World) -> None:
+    """Let an endpoint reject requests and ask the entries that sent them to back off."""
+    worker = cluster.workers[_worker_name(cluster)]
+    worker.rest_s = cluster.rng.choice((0.0, 0.7, 3.0))
+    worker.turning_away = cluster.rng.choice((0.3, 1.0))
+    eventlet.sleep(cluster.rng.uniform(0.5, 4.0))
     worker.turning_away = 0.0
     worker.rest_s = 0.0
 
@@ -252,8 +256,8 @@
     _crash_worker,
     _harm_store,
 )
-"""Faults of worlds whose endpoints start again under their ids. Apart from the others, so
-that the seeds of those draw what they drew."""
+"""Faults of soaks whose endpoints restart under the same ids. A separate list, so that
+seeds of other soaks keep drawing the same faults."""
 
 DEADLY_FAULTS: tuple[Fault, ...] = (
     _kill,
@@ -266,7 +270,7 @@
     _harm_store,
     _signals,
 )
-"""Faults beside requests that end their endpoints, apart for the same reason."""
+"""Faults of soaks with requests that crash endpoints, separate for the same reason."""
 
 NOTICE_FAULTS: tuple[Fault, ...] = (
     _name_limit,
@@ -282,7 +286,7 @@
     _harm_store,
     _harm_store_link,
 )
-"""Faults of worlds whose endpoints tell of themselves, apart for the same reason."""
+"""Faults of soaks whose endpoints send notices, separate for the same reason."""
 
 THEMES: dict[Theme, tuple[Fault, ...]] = {
     Theme.LIVES: LIFE_FAULTS,
@@ -290,4 +294,4 @@
     Theme.NOTICES: NOTICE_FAULTS,
     Theme.ALL: (*LIFE_FAULTS, *DEADLY_FAULTS, *NOTICE_FAULTS),
 }
-"""Faults of each theme; any other soak draws its kinds from `FAULTS`."""
+"""Faults of each theme; a soak without a theme draws some kinds from `FAULTS`."""
--- a/tests/soak/notice_promises.py
+++ b/tests/soak/notice_promises.py
@@ -1,4 +1,4 @@
-"""What must hold of endpoints that say something of themselves in their answers."""
+"""Checks what endpoints announce about themselves in response headers against arrivals."""
 
 from __future__ import annotations
 
@@ -9,59 +9,62 @@
 from .workers import NO_LIMIT, Arrival, Word
 
 Harmed = Callable[[str, float, float], bool]
-"""Whether an entry was harmed in a span, in steady seconds."""
+"""Whether a fault affected an entry in a span of monotonic time, in seconds."""
 
 TOLD_S = 0.5
-"""Time after an answer from which its entry is bound by it, in seconds."""
+"""Time after a response at which its entry must have applied the notice, in seconds."""
 
 RATE_WINDOW_S = 4.0
 RATE_OVER = 1.5
 RATE_SLACK = 5.0
+"""An endpoint may receive, in any window, its advertised rate times the window's length and
+`RATE_OVER`, plus this many requests."""
 
 MOST_IN_REST = 2
-"""Requests that an entry may send in the rest that it was asked for, after `TOLD_S`."""
+"""Requests that an entry may send during a requested back-off, after `NOTICE_DELAY_S`."""
 
 LEAVING_S = 2.0
-"""Time after such an answer in which callers' requests may still go there, in seconds."""
+"""Time after an endpoint announced that it leaves in which the entry may still forward new
+requests to it, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class LimitSpan:
-    """A span of steady time in which an endpoint named one limit in all its answers."""
+    """A span of monotonic time in which an endpoint advertised one limit throughout."""
 
     limit: float
     start: float
     end: float
 
 
-def _limit_spans(words: list[Word]) -> list[LimitSpan]:
-    """Return the spans in which an endpoint named a limit, by what it said, in order."""
+def _limit_spans(notices: list[Word]) -> list[LimitSpan]:
+    """Return the spans in which an endpoint advertised a limit; notices are in order."""
     spans = []
     for (limit, until), group in itertools.groupby(
-        words, lambda word: (word.limit, word.until)
+        notices, lambda notice: (notice.limit, notice.limit_until)
     ):
-        said = list(group)
-        after = words[words.index(said[-1]) + 1 :]
-        end = min(until, after[0].at) if after else until
+        same = list(group)
+        later = notices[notices.index(same[-1]) + 1 :]
+        end = min(until, later[0].at) if later else until
         if limit < NO_LIMIT:
-            spans.append(LimitSpan(limit, said[0].at, end))
+            spans.append(LimitSpan(limit, same[0].at, end))
     return spans
 
 
 class Notices:
-    """What endpoints said, and what reached them.
+    """Compares the notices that endpoints sent with the requests that reached them.
 
     Args:
-        words: What they said, in order.
-        arrivals: What reached them, in order.
-        entry_of: The entry that each request was sent over.
-        is_harmed: Returns whether something excuses an entry for a span of time.
+        notices: The notices that were sent, in order.
+        arrivals: The requests that reached endpoints, in order.
+        entry_of: The entry over which each request was sent.
+        is_harmed: Returns whether a fault excuses an entry for a span of time.
         sent: When each request was sent by its caller.
     """
 
     def __init__(
         self,
-        words: list[Word],
+        notices: list[Word],
         arrivals: list[Arrival],
         *,
         entry_of: dict[str, str],
@@ -73,57 +76,57 @@
         self._entry_of = entry_of
         self._words: dict[str, list[Word]] = {}
         self._arrivals: dict[str, list[Arrival]] = {}
-        for word in words:
-            self._words.setdefault(word.worker, []).append(word)
+        for notice in notices:
+            self._words.setdefault(notice.worker, []).append(notice)
         for arrival in arrivals:
             if arrival.rid in entry_of:
                 self._arrivals.setdefault(arrival.worker, []).append(arrival)
 
-    def over_limit(self, contact_s: float) -> list[str]:
-        """Return endpoints that got more than the limit that they named."""
+    def over_limit(self, convergence_s: float) -> list[str]:
+        """Return endpoints that received more than the limit that they advertised."""
         found = []
-        for worker, words in self._words.items():
-            for span in _limit_spans(words):
-                most = RATE_OVER * span.limit * RATE_WINDOW_S + RATE_SLACK
-                times = self._from_told(worker, words, span, contact_s)
+        for worker, notices in self._words.items():
+            for span in _limit_spans(notices):
+                allowed = RATE_OVER * span.limit * RATE_WINDOW_S + RATE_SLACK
+                times = self._from_told(worker, notices, span, convergence_s)
                 for at in times:
                     count = sum(at <= when < at + RATE_WINDOW_S for when in times)
-                    if count > most:
-                        found.append(f"{worker}: {count} of {most:.0f} at {at:.2f}")
+                    if count > allowed:
+                        found.append(f"{worker}: {count} of {allowed:.0f} at {at:.2f}")
                         break
         return found
 
     def _from_told(
-        self, worker: str, words: list[Word], span: LimitSpan, contact_s: float
+        self, worker: str, notices: list[Word], span: LimitSpan, convergence_s: float
     ) -> list[float]:
-        """Return when requests came from entries that had passed the limit on."""
-        told: dict[str, float] = {}
-        for word in words:
-            entry = self._entry_of.get(word.rid)
-            if entry is not None and word.limit < NO_LIMIT and word.at >= span.start:
-                told.setdefault(entry, word.at + TOLD_S)
+        """Return when requests arrived from entries that had received the limit."""
+        informed_at: dict[str, float] = {}
+        for notice in notices:
+            entry = self._entry_of.get(notice.rid)
+            if entry is not None and notice.limit < NO_LIMIT and notice.at >= span.start:
+                informed_at.setdefault(entry, notice.at + TOLD_S)
         found = []
         for arrival in self._arrivals.get(worker, []):
             entry = self._entry_of[arrival.rid]
-            if not span.start + contact_s <= arrival.at <= span.end:
+            if not span.start + convergence_s <= arrival.at <= span.end:
                 continue
-            if entry not in told or arrival.at < told[entry]:
+            if entry not in informed_at or arrival.at < informed_at[entry]:
                 continue
             if not self._is_harmed(entry, span.start, arrival.at):
                 found.append(arrival.at)
         return found
 
     def late(self) -> list[str]:
-        """Return requests that were sent on long after an answer said that it leaves."""
+        """Return requests forwarded to an endpoint long after it announced leaving."""
         found = []
-        for worker, words in self._words.items():
-            told: dict[str, float] = {}
-            for word in words:
-                if word.is_leaving and word.rid in self._entry_of:
-                    told.setdefault(self._entry_of[word.rid], word.at)
+        for worker, notices in self._words.items():
+            informed_at: dict[str, float] = {}
+            for notice in notices:
+                if notice.is_leaving and notice.rid in self._entry_of:
+                    informed_at.setdefault(self._entry_of[notice.rid], notice.at)
             for arrival in self._arrivals.get(worker, []):
                 entry = self._entry_of[arrival.rid]
-                since = told.get(entry)
+                since = informed_at.get(entry)
                 if since is None or self._sent[arrival.rid] <= since + LEAVING_S:
                     continue
                 if not self._is_harmed(entry, since, arrival.at):
@@ -133,21 +136,21 @@
         return found
 
     def in_rest(self) -> list[str]:
-        """Return entries that did not leave an endpoint alone that asked for rest."""
+        """Return entries that kept sending to an endpoint that asked them to back off."""
         found = []
-        for worker, words in self._words.items():
-            for word in words:
-                entry = self._entry_of.get(word.rid)
-                if not word.rest_s or entry is None:
+        for worker, notices in self._words.items():
+            for notice in notices:
+                entry = self._entry_of.get(notice.rid)
+                if not notice.backoff_s or entry is None:
                     continue
                 times = [
                     arrival.at
                     for arrival in self._arrivals.get(worker, [])
                     if self._entry_of[arrival.rid] == entry
-                    and word.at + TOLD_S < arrival.at < word.at + word.rest_s
+                    and notice.at + TOLD_S < arrival.at < notice.at + notice.backoff_s
                 ]
                 if len(times) > MOST_IN_REST and not self._is_harmed(
-                    entry, word.at, times[-1]
+                    entry, notice.at, times[-1]
                 ):
-                    found.append(f"{worker}: {len(times)} from {entry} at {word.at:.2f}")
+                    found.append(f"{worker}: {len(times)} from {entry} at {notice.at:.2f}")
         return found
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, resets, cuts one way or silences connections."""
+"""A loopback proxy that delays, blocks, resets or stalls the connections through it."""
 
 from __future__ import annotations
 
@@ -15,34 +15,38 @@
 
 
 class Harm(enum.Enum):
-    """What the proxy does to the connections that pass through it."""
+    """The fault that the proxy applies to the connections that pass through it."""
 
     NONE = "none"
     DELAY = "delay"
-    """Each piece waits for `DELAY_S`."""
+    """Each piece of data is delayed by `DELAY_S`."""
 
     RESET = "reset"
-    """Connections are reset, those that are open and new ones."""
+    """Open and new connections are reset."""
 
     SILENT = "silent"
-    """Nothing passes either way; what was held up is lost, with its connection."""
+    """No data passes either way; blocked data is lost and its connection is reset."""
 
     NO_ANSWERS = "no_answers"
-    """What the caller sends passes, what comes back does not."""
+    """Data from the client passes; data from the server is blocked."""
 
 
 DELAY_S = 0.05
+"""Delay of each piece of data, and poll interval while data is blocked, in seconds."""
 
 
 class Proxy:
-    """Stands before one address.
+    """A proxy in front of one server.
+
+    Args:
+        upstream: The server's IP address and port.
 
     Attributes:
-        address: Where it listens, IP number and port.
+        address: IP address and port on which the proxy listens.
     """
 
-    def __init__(self, behind: str) -> None:
-        self._behind = behind
+    def __init__(self, upstream: str) -> None:
+        self._behind = upstream
         self._listener = listen_locally()
         self._harm = Harm.NONE
         self._pairs: set[tuple[Any, Any]] = set()
@@ -50,32 +54,32 @@
         self.address = address_of(self._listener)
         eventlet.spawn(accept_all, self._listener, self._serve)
 
-    def harm(self, harm: Harm) -> None:
-        """Change what is done to connections."""
-        self._harm = harm
-        if harm is Harm.RESET:
+    def harm(self, fault: Harm) -> None:
+        """Change the fault that is applied to all connections."""
+        self._harm = fault
+        if fault is Harm.RESET:
             for pair in list(self._pairs):
                 self._reset(pair)
 
     def mute(self) -> None:
-        """Let all open connections be silent for good, without a reset; new ones work."""
+        """Drop all further data on open connections, without a reset; new ones work."""
         self._muted |= self._pairs
 
-    def _serve(self, front: Any) -> None:  # noqa: ANN401
+    def _serve(self, client: Any) -> None:  # noqa: ANN401
         if self._harm is Harm.RESET:
-            _reset_if_open(front)
+            _reset_if_open(client)
             return
-        back = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        server = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         ip, _, port = self._behind.rpartition(":")
         try:
-            back.connect((ip, int(port)))
+            server.connect((ip, int(port)))
         except OSError:
-            _reset_if_open(front)
+            _reset_if_open(client)
             return
-        pair = (front, back)
+        pair = (client, server)
         self._pairs.add(pair)
-        eventlet.spawn_n(self._copy, front, back, pair)
-        self._copy(back, front, pair)
+        eventlet.spawn_n(self._copy, client, server, pair)
+        self._copy(server, client, pair)
 
     def _copy(self, source: Any, sink: Any, pair: tuple[Any, Any]) -> None:  # noqa: ANN401
         try:
@@ -95,20 +99,20 @@
                 self._pairs.discard(pair)
 
     def _hold(self, source: Any, pair: tuple[Any, Any]) -> None:  # noqa: ANN401
-        """Hold up what came from a side for as long as it must not pass.
+        """Wait for as long as the fault blocks data from a side of a connection.
 
         Raises:
-            OSError: It was held up by silence, and is lost.
+            OSError: The data was blocked by `LinkFault.SILENT` and is lost.
         """
-        is_answer = source is pair[1]
-        while is_answer and self._harm is Harm.NO_ANSWERS:
+        is_response = source is pair[1]
+        while is_response and self._harm is Harm.NO_ANSWERS:
             eventlet.sleep(DELAY_S)
         was_silent = False
         while self._harm is Harm.SILENT:
             was_silent = True
             eventlet.sleep(DELAY_S)
         if was_silent:
-            raise OSError("held up, and lost")
+            raise OSError("blocked data was lost")
 
     def _reset(self, pair: tuple[Any, Any]) -> None:
         self._pairs.discard(pair)
@@ -117,6 +121,6 @@
 
 
 def _reset_if_open(sock: Any) -> None:  # noqa: ANN401
-    """Reset a connection, unless the other direction has already done so."""
+    """Reset a connection, unless the other direction has already reset it."""
     with contextlib.suppress(OSError):
         reset(sock)
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,4 +1,4 @@
-"""Runs one soak: faults that overlap for a while, then calm, then the promises."""
+"""Runs one soak: overlapping faults, then time to recover, then the check of invariants."""
 
 from __future__ import annotations
 
@@ -15,40 +15,41 @@
 from .world import ENTRIES, World
 
 READY_S = 10.0
-"""Longest time that entries take to serve, in seconds: a busy machine is slow."""
+"""Longest time until entries accept connections, in seconds: a busy machine is slow."""
 
 BETWEEN_S = (0.8, 2.0, 5.0)
-"""Longest time between two faults, in seconds; one is drawn for each soak. In some, faults
-overlap all the time; in others there are moments in which promises with a time bind."""
+"""Longest times between two faults, in seconds; one is drawn for each soak. In some soaks
+faults overlap all the time; in others there are gaps in which invariants with a time limit
+apply."""
 
 KINDS = (2, 8)
-"""Fewest and most kinds of faults in one soak, for the same reason."""
+"""Smallest and largest number of kinds of faults in one soak, for the same reason."""
 
 SERIES = (1, 1, 1, 2, 3)
-"""How often a fault comes in a row; one is drawn."""
+"""Numbers of repetitions of a fault; one is drawn each time."""
 
 SERIES_GAP_S = 0.4
-"""Longest time between faults of a series, in seconds."""
+"""Longest time between repetitions of a fault, in seconds."""
 
 RECOVER_S = 10.0
-"""Time for everything to be well again after the last fault, in seconds: a planned stop may
-take the grace time, and each limit may be taken as used for a window after a restart."""
+"""Time to recover after the last fault, in seconds: a planned stop may take the grace time,
+and after a restart an entry may regard each limit as used up for one window."""
 
 CALM_S = 2.0
-"""How long requests must then be served, in seconds."""
+"""How long requests must be served after that, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """What a soak found.
+    """The result of a soak.
 
     Attributes:
-        broken: Promises that were broken, with the requests that show it.
+        broken: Violated invariants, with the requests that show it.
         faults: Names of the faults, in order, with their times.
-        asked: Requests that callers sent.
-        served: Those that were answered whole with success.
-        logs: The last lines of each entry's log, if a promise was broken.
-        late_s: For how long the soak itself stood still, in seconds.
+        asked: Number of requests that callers sent.
+        served: Number of requests with a complete and successful response.
+        logs: The last lines of each entry's log, if an invariant was violated.
+        late_s: For how long the soak's own process stalled, in seconds.
     """
 
     seed: int
@@ -71,79 +72,79 @@
     """Run one soak.
 
     Args:
-        seed: Of the faults and of the callers' requests.
-        faults_s: How long faults come, in seconds.
-        folder: For settings and logs.
-        entries: How many entries there are.
-        theme: What it is about.
+        seed: Seed of the faults and of the callers' requests.
+        faults_s: How long faults are injected, in seconds.
+        folder: Directory for settings and logs.
+        entries: Number of entries.
+        theme: The special behaviour that it tests.
     """
     with reserved_net() as net:
-        world = World(seed, net, folder, entries, theme)
-        return _soak(world, seed, faults_s)
+        cluster = World(seed, net, folder, entries, theme)
+        return _soak(cluster, seed, faults_s)
 
 
-def _soak(world: World, seed: int, faults_s: float) -> Result:
+def _soak(cluster: World, seed: int, faults_s: float) -> Result:
     faults: list[str] = []
     try:
-        world.start()
-        _wait_until_served(world)
-        world.call()
-        if world.theme.has_deadly:
-            # They come on when all else is well again: nothing excuses what is sent then.
-            eventlet.spawn(world.callers.run_deadly, "key-free", faults_s + RECOVER_S)
-        faults = _inject(world, faults_s)
-        world.seen.calm_from = time.monotonic() + RECOVER_S
+        cluster.start()
+        _wait_until_served(cluster)
+        cluster.call()
+        if cluster.theme.has_deadly:
+            # They continue after all faults have ended: nothing excuses late sends then.
+            eventlet.spawn(cluster.callers.run_deadly, "key-free", faults_s + RECOVER_S)
+        faults = _inject(cluster, faults_s)
+        cluster.seen.calm_from = time.monotonic() + RECOVER_S
         eventlet.sleep(RECOVER_S + CALM_S)
     finally:
-        world.end()
-    found = broken(world.seen)
-    served = [row for row in world.seen.outcomes if row.status == 200 and row.is_whole]
-    logs = [f"{entry.name}:\n{entry.tail()}" for entry in world.entries] if found else []
-    asked = len(world.seen.outcomes)
-    return Result(seed, found, faults, asked, len(served), logs, world.seen.late_s)
+        cluster.end()
+    found = broken(cluster.seen)
+    served = [row for row in cluster.seen.outcomes if row.status == 200 and row.is_whole]
+    logs = [f"{entry.name}:\n{entry.tail()}" for entry in cluster.entries] if found else []
+    asked = len(cluster.seen.outcomes)
+    return Result(seed, found, faults, asked, len(served), logs, cluster.seen.late_s)
 
 
-def _wait_until_served(world: World) -> None:
+def _wait_until_served(cluster: World) -> None:
     """Wait until every entry accepts connections.
 
     Raises:
-        TimeoutError: One does not in time.
+        TimeoutError: An entry does not in time.
     """
     end = time.monotonic() + READY_S
-    for entry in world.entries:
+    for entry in cluster.entries:
         while not entry.is_listening:
             if time.monotonic() > end:
-                raise TimeoutError(f"{entry.name} does not listen")
+                raise TimeoutError(f"{entry.name} does not accept connections")
             eventlet.sleep(0.05)
 
 
-def _inject(world: World, faults_s: float) -> list[str]:
-    """Start faults that overlap; return their names when all have ended."""
+def _inject(cluster: World, faults_s: float) -> list[str]:
+    """Inject overlapping faults; return their names and times when all have ended."""
     start = time.monotonic()
     names = []
     running = []
-    most_s = world.rng.choice(BETWEEN_S)
-    kinds = list(THEMES.get(world.theme, ()))
+    max_interval_s = cluster.rng.choice(BETWEEN_S)
+    kinds = list(THEMES.get(cluster.theme, ()))
     if not kinds:
-        kinds = world.rng.sample(FAULTS, world.rng.randint(*KINDS))
+        kinds = cluster.rng.sample(FAULTS, cluster.rng.randint(*KINDS))
     while time.monotonic() < start + faults_s:
-        fault = world.rng.choice(kinds)
-        times = world.rng.choice(SERIES)
+        fault = cluster.rng.choice(kinds)
+        count = cluster.rng.choice(SERIES)
         name = fault.__name__.strip("_")
-        names.append(f"{time.monotonic() - start:.2f} {name} x{times}")
-        running.append(eventlet.spawn(_in_series, world, fault, times))
-        eventlet.sleep(world.rng.uniform(0.0, most_s))
+        names.append(f"{time.monotonic() - start:.2f} {name} x{count}")
+        running.append(eventlet.spawn(_in_series, cluster, fault, count))
+        eventlet.sleep(cluster.rng.uniform(0.0, max_interval_s))
     for greenlet in running:
         greenlet.wait()
-    world.mend()
+    cluster.mend()
     return names
 
 
-def _in_series(world: World, fault: Fault, times: int) -> None:
-    """Bring a fault about several times; each ends by itself, and they may overlap."""
+def _in_series(cluster: World, fault: Fault, count: int) -> None:
+    """Inject a fault several times; repetitions end by themselves and may overlap."""
     running = []
-    for _ in range(times):
-        running.append(eventlet.spawn(fault, world))
-        eventlet.sleep(world.rng.uniform(0.0, SERIES_GAP_S))
+    for _ in range(count):
+        running.append(eventlet.spawn(fault, cluster))
+        eventlet.sleep(cluster.rng.uniform(0.0, SERIES_GAP_S))
     for greenlet in running:
         greenlet.wait()
--- a/tests/soak/test_faults.py
+++ b/tests/soak/test_faults.py
@@ -1,4 +1,4 @@
-"""Faults strike what is there, and find it though all of it is away for a moment."""
+"""Faults wait for an endpoint if none runs at the moment."""
 
 from __future__ import annotations
 
@@ -29,32 +29,32 @@
 
 
 @pytest.fixture
-def world(tmp_path: Path) -> Iterator[World]:
-    """A world with one endpoint, and without any entry that runs."""
+def cluster(tmp_path: Path) -> Iterator[World]:
+    """A cluster with one endpoint, and with an entry that is not started."""
     with reserved_net() as net:
-        made = World(4, net, tmp_path, 1, Theme.LIVES)
-        made.configure()
-        made.add_worker(SERVICES[0])
-        yield made
-        made.end()
+        cluster = World(4, net, tmp_path, 1, Theme.LIVES)
+        cluster.configure()
+        cluster.add_worker(SERVICES[0])
+        yield cluster
+        cluster.end()
 
 
 @pytest.mark.parametrize("name", STRIKES_ENDPOINTS)
-def test_a_fault_that_finds_no_endpoint_strikes_the_next_that_comes(
-    world: World, name: str
+def test_fault_without_an_endpoint_waits_for_the_next_one(
+    cluster: World, name: str
 ) -> None:
-    """A soak ended by itself where crashes and restarts overlapped, once in its CI run.
+    """A fault must not draw from an empty list of endpoints.
 
-    Each endpoint that crashes is away for 1 s, and each that starts again for 0.5 s. Five
-    or six such faults in a row had taken all six, and the next one drew from none: no
-    promise was looked at, and the run told nothing but an `IndexError`.
+    A crashed endpoint is absent for 1 s and a restarting one for 0.5 s. In a CI run five or
+    six overlapping faults had removed all six endpoints: the next fault raised an
+    `IndexError`, and the soak ended before any invariant was checked.
     """
     faults: dict[str, Fault] = {
         fault.__name__: fault for fault in itertools.chain(FAULTS, *THEMES.values())
     }
-    crash = eventlet.spawn(faults["_crash_worker"], world)
+    crash = eventlet.spawn(faults["_crash_worker"], cluster)
     eventlet.sleep(0)
-    assert not world.workers
+    assert not cluster.workers
     with eventlet.Timeout(10.0):
-        eventlet.spawn(faults[name], world).wait()
+        eventlet.spawn(faults[name], cluster).wait()
         crash.wait()
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded soak, and the seeds that ever showed a fault."""
+"""Short soaks with fixed seeds, among them the seeds that once revealed a fault."""
 
 from __future__ import annotations
 
@@ -16,32 +16,30 @@
 @pytest.mark.parametrize(
     ("seed", "faults_s"),
     [
-        # A changed settings file ended an entry that was still loading (SIGHUP). This seed
-        # and the next two draw other faults since there are more kinds of them; their
-        # causes have tests of their own in tests/platform/test_process.py.
+        # A changed settings file (SIGHUP) ended an entry that was still loading. This seed
+        # and the next two draw other faults since more kinds exist; their causes have their
+        # own tests in tests/platform/test_process.py.
         (1, SHORT_S),
-        # The same, before the interpreter ran a line of the program: not ours to mend, and
-        # no longer sent by the soak.
+        # The same, before the interpreter ran a line of the program: the program cannot
+        # prevent this, and the soak no longer sends the signal then.
         (108067, SHORT_S),
-        # A second signal to stop ended an entry that was finishing what it took.
+        # A second SIGTERM ended an entry that was finishing its accepted requests.
         (108072, SHORT_S),
-        # A call on a connection to the store that had fallen silent was held for 4 s.
+        # A call on a stalled connection to the store blocked for 4 s.
         (600, LONG_S),
         (608, LONG_S),
-        # Short seeded run.
+        # A short run that revealed no fault.
         (12, SHORT_S),
     ],
 )
-def test_every_promise_is_kept_while_things_fail(
-    tmp_path: Path, seed: int, faults_s: float
-) -> None:
+def test_invariants_hold_during_faults(tmp_path: Path, seed: int, faults_s: float) -> None:
     result = soak(seed, faults_s, tmp_path)
     assert result.broken == [], "\n".join([*result.faults, *result.logs])
     assert result.served > 100
 
 
 @pytest.mark.parametrize("seed", [3, 4])
-def test_every_promise_is_kept_while_endpoints_start_again_and_halls_are_emptied(
+def test_invariants_hold_while_endpoints_restart_and_halls_are_evacuated(
     tmp_path: Path, seed: int
 ) -> None:
     result = soak(seed, LONG_S, tmp_path, theme=Theme.LIVES)
@@ -50,7 +48,7 @@
 
 
 @pytest.mark.parametrize("seed", [7, 8])
-def test_every_promise_is_kept_while_requests_end_their_endpoints(
+def test_invariants_hold_while_requests_crash_their_endpoints(
     tmp_path: Path, seed: int
 ) -> None:
     result = soak(seed, LONG_S, tmp_path, theme=Theme.DEADLY)
@@ -59,7 +57,7 @@
 
 
 @pytest.mark.parametrize("seed", [5, 6])
-def test_every_promise_is_kept_while_endpoints_name_limits_leave_and_ask_for_rest(
+def test_invariants_hold_while_endpoints_send_limits_leave_and_ask_for_back_off(
     tmp_path: Path, seed: int
 ) -> None:
     result = soak(seed, LONG_S, tmp_path, theme=Theme.NOTICES)
@@ -67,7 +65,7 @@
     assert result.served > 100
 
 
-def test_every_promise_is_kept_while_all_of_it_comes_at_once(tmp_path: Path) -> None:
+def test_invariants_hold_with_all_themes_at_once(tmp_path: Path) -> None:
     result = soak(9, LONG_S, tmp_path, theme=Theme.ALL)
     assert result.broken == [], "\n".join([*result.faults, *result.logs])
     assert result.served > 100
--- a/tests/soak/theme.py
+++ b/tests/soak/theme.py
@@ -1,4 +1,4 @@
-"""What a soak is about, beside the faults that any system meets."""
+"""The theme of a soak: special behaviour of endpoints and requests beside common faults."""
 
 from __future__ import annotations
 
@@ -6,34 +6,37 @@
 
 
 class Theme(enum.StrEnum):
-    """What a soak is about."""
+    """The special behaviour that a soak tests.
+
+    Values other than ``ordinary`` are names of command-line flags.
+    """
 
     ORDINARY = "ordinary"
 
     LIVES = "lives"
-    """Endpoints are cold after a start, start again under their ids, and stand in halls
-    that may have to be empty."""
+    """Endpoints are cold after a start, restart under the same id, and are in data halls
+    that may be evacuated."""
 
     DEADLY = "deadly"
-    """Some requests end each endpoint that begins them."""
+    """Some requests crash every endpoint that starts them."""
 
     NOTICES = "notices"
-    """Endpoints name limits, leave by their own word, and ask for rest."""
+    """Endpoints advertise limits, announce that they leave, and ask entries to back off."""
 
     ALL = "all"
-    """All of this at once."""
+    """All of these at once."""
 
     @property
     def has_lives(self) -> bool:
-        """Whether endpoints stand in two halls, and tell when they started."""
+        """Whether endpoints are in two data halls and publish their start times."""
         return self in (Theme.LIVES, Theme.ALL)
 
     @property
     def has_bodies(self) -> bool:
-        """Whether most requests differ by their bodies, as callers' requests do."""
+        """Whether most requests have distinct bodies, as in production."""
         return self in (Theme.DEADLY, Theme.NOTICES, Theme.ALL)
 
     @property
     def has_deadly(self) -> bool:
-        """Whether some requests end each endpoint that begins them."""
+        """Whether some requests crash every endpoint that starts them."""
         return self in (Theme.DEADLY, Theme.ALL)
--- a/tests/soak/workers.py
+++ b/tests/soak/workers.py
@@ -1,4 +1,4 @@
-"""Endpoints that keep a record of what they ran, and come and go."""
+"""Stand-in endpoints that can crash, leave and restart, and that log every request."""
 
 from __future__ import annotations
 
@@ -17,13 +17,18 @@
 
 SLOTS = 6
 WORK_S = 0.03
+"""Time that a plain request takes, in seconds."""
+
 DEADLY_S = 0.02
-"""How long an endpoint works on a request that ends it, in seconds."""
+"""How long an endpoint works on a request that crashes it, in seconds."""
 
 GAP_S = 0.02
+"""Time between the events of a stream, in seconds."""
+
 NO_LIMIT = math.inf
+
 LATE_SLOTS = 6
-"""Requests beyond its places that an endpoint lets wait before it refuses."""
+"""Requests beyond its slots that an endpoint accepts before it rejects more."""
 
 
 @dataclass(slots=True)
@@ -31,9 +36,11 @@
     """One run of a request, as the endpoint saw it.
 
     Attributes:
-        began: Steady time, in seconds.
-        ended: Steady time at which the endpoint stopped to work on it, in seconds.
-        tokens: What it counts against its organisation's limit.
+        rid: The id of the request.
+        worker: Name of the endpoint.
+        tokens: Tokens that count against the organisation's limit.
+        began: Monotonic time, in seconds.
+        ended: Monotonic time at which the endpoint stopped working on it, in seconds.
     """
 
     rid: str
@@ -47,10 +54,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request that reached an endpoint, at a steady time in seconds.
+    """A request that reached an endpoint.
 
     Attributes:
-        worker: The life of the endpoint that it reached.
+        worker: The incarnation of the endpoint that it reached, see `Worker.incarnation`.
+        at: Monotonic time, in seconds.
     """
 
     rid: str
@@ -60,33 +68,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Word:
-    """What an endpoint said of itself in the head of an answer.
+    """What an endpoint announced about itself in the headers of a response.
 
     Attributes:
-        rid: The request that was answered.
-        worker: The life of the endpoint that said it.
-        at: Steady time of the answer, in seconds.
-        limit: Requests a second that it takes; `NO_LIMIT` if it named none.
-        until: Steady time until which it names that limit, in seconds.
-        rest_s: How long it wants nothing from that entry, in seconds; 0 if not.
+        rid: The id of the request.
+        worker: The incarnation of the endpoint, see `Worker.incarnation`.
+        at: Monotonic time of the response, in seconds.
+        limit: Requests per second that it accepts; `NO_LIMIT` if it advertised no limit.
+        limit_until: Monotonic time until which it advertises that limit, in seconds.
+        is_leaving: Whether it announced that it leaves.
+        backoff_s: How long the entry must not send to it, in seconds; 0 if it may.
     """
 
     rid: str
     worker: str
     at: float
     limit: float
-    until: float
+    limit_until: float
     is_leaving: bool
-    rest_s: float
+    backoff_s: float
 
 
 @dataclass(slots=True)
 class Record:
-    """All runs at all endpoints.
+    """Everything that happened at all endpoints.
 
     Attributes:
-        arrivals: What reached them, run or not, but for what was not meant for them.
-        words: What they said of themselves, and that they said nothing any more.
+        runs: Requests that endpoints ran.
+        arrivals: Requests that reached them, run or not, except those addressed to another
+            endpoint.
+        words: Notices that they sent, including empty ones after the first.
     """
 
     runs: list[Run] = field(default_factory=list)
@@ -95,7 +106,7 @@
 
 
 def length_of(rid: str) -> int:
-    """Return how many events the stream of a request has."""
+    """Return the number of events in the stream of a request."""
     return 5 + sum(rid.encode()) % 20
 
 
@@ -105,23 +116,26 @@
 
 
 def answer_of(rid: str) -> bytes:
-    """Return the body that answers a plain request."""
+    """Return the body of the response to a plain request."""
     return f"answer to {rid}".encode()
 
 
 class Worker:
-    """One start of an endpoint, behind a proxy.
+    """One incarnation of a stand-in endpoint, behind a proxy.
 
     Attributes:
-        hall: The data hall that it stands in.
-        born: Time of its start, in milliseconds; 0 if it does not tell.
-        failing: Part of its requests that it answers with 500.
-        slowness: How many times as long as usual it takes.
-        limit: Requests a second that it names in its answers; `NO_LIMIT` for none.
-        limited_until: Steady time until which it names that, in seconds.
-        is_leaving: Whether it says in its answers that it leaves.
-        rest_s: Time for which it wants nothing when it turns a request away, in seconds.
-        turning_away: Part of its requests that it turns away.
+        name: The id under which the endpoint is published.
+        hall: The data hall of the endpoint.
+        born: Start time, in milliseconds; 0 if it does not publish one.
+        failing: Fraction of its requests to which it responds with 500.
+        slowness: Factor by which it is slower than usual.
+        limit: Requests per second that it advertises in responses; `NO_LIMIT` for none.
+        limited_until: Monotonic time until which it advertises that limit, in seconds.
+        is_leaving: Whether it announces in responses that it leaves.
+        rest_s: Back-off that it asks for when it rejects a request, in seconds.
+        turning_away: Fraction of its requests that it rejects.
+        on_deadly: Called with its name when a request crashes it; if None, such requests
+            are harmless.
     """
 
     def __init__(
@@ -155,17 +169,17 @@
 
     @property
     def life(self) -> str:
-        """Names this start, apart from others under its id."""
+        """Identifies this incarnation among others with the same id."""
         return f"{self.name}/{self.born}" if self.born else self.name
 
     def crash(self) -> None:
-        """Cut everything and stop to listen."""
+        """Reset all connections and stop listening."""
         self._stand_in.close()
         for dialog in self._stand_in.dialogs:
             dialog.reset()
 
     def go_dark(self) -> None:
-        """Say nothing more on any connection, and take no new one."""
+        """Stop responding on open connections and accept no new ones."""
         self._stand_in.close()
         self.proxy.mute()
 
@@ -177,8 +191,8 @@
         self._record.arrivals.append(
             Arrival(dialog.rid.decode(), self.life, time.monotonic())
         )
-        is_refused = self.turning_away and self._rng.random() < self.turning_away
-        if is_refused or self._running >= SLOTS + LATE_SLOTS:
+        is_rejected = self.turning_away and self._rng.random() < self.turning_away
+        if is_rejected or self._running >= SLOTS + LATE_SLOTS:
             headers = b"Not-Executed: 1\r\n" + self._say(dialog, self.rest_s)
             dialog.respond(b"", b"503 Service Unavailable", headers)
             return
@@ -211,8 +225,8 @@
             serve = self._stream
         serve(dialog)
 
-    def _say(self, dialog: Dialog, rest_s: float = 0.0) -> bytes:
-        """Return the headers in which it says something of itself; keep what it says."""
+    def _say(self, dialog: Dialog, backoff_s: float = 0.0) -> bytes:
+        """Return the status headers for a response, and log them as a notice."""
         now = time.monotonic()
         limit = self.limit if now < self.limited_until else NO_LIMIT
         headers = b""
@@ -220,15 +234,15 @@
             headers += f"Server-Limit: {limit}\r\n".encode()
         if self.is_leaving:
             headers += b"Server-Leaving: 1\r\n"
-        if rest_s:
-            headers += f"Retry-After: {rest_s}\r\n".encode()
+        if backoff_s:
+            headers += f"Retry-After: {backoff_s}\r\n".encode()
         self._has_said = self._has_said or bool(headers)
         if self._has_said:
             rid = dialog.rid.decode()
-            word = Word(
-                rid, self.life, now, limit, self.limited_until, self.is_leaving, rest_s
+            notice = Word(
+                rid, self.life, now, limit, self.limited_until, self.is_leaving, backoff_s
             )
-            self._record.words.append(word)
+            self._record.words.append(notice)
         return headers
 
     def _note(self, dialog: Dialog) -> Run:
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -1,4 +1,4 @@
-"""The whole system on one machine: store, endpoints, entries, callers and proxies."""
+"""A complete system on one machine: store, endpoints, entries, callers and proxies."""
 
 from __future__ import annotations
 
@@ -28,47 +28,49 @@
 LIMIT_RATE = 400.0
 LIMIT_BURST = 400.0
 LIMIT_OVER = 0.25
-"""The limited organisation sends more than this: some twenty requests of 20 tokens a second
-are let in. As on the platform, one request is a small part of a window."""
+"""The limited organisation sends more than its quota, which admits about 20 requests of 20
+tokens a second. As on the platform, one request is a small part of a window."""
 
 CHANGES_S = (0.3, 1.2)
 """Shortest and longest time between configurations, in seconds."""
 
 LOOK_S = 0.05
+"""Interval at which this process checks itself for stalls, in seconds."""
+
 LATE_S = 0.25
-"""How late this process may be before what it sees counts as harmed, in seconds: half of
-the shortest time that a promise allows."""
+"""How long this process may stall before the stall counts as a fault, in seconds: half of
+the shortest time limit of an invariant."""
 
 ADDED_ROUTES = 40
-"""Routes that are kept of those that each version adds."""
+"""Number of routes that stay configured; each version adds one."""
 
 HEARTBEATS_S = 1.0
-"""How long the entry of a crashed endpoint stays published, in seconds."""
+"""How long the record of a crashed endpoint stays in the store, in seconds."""
 
 ENDING_S = 2.5
-"""How long an endpoint that leaves serves on, in seconds."""
+"""How long a draining endpoint continues to serve, in seconds."""
 
 HALLS = ("hall1", "hall2")
 
 FIRST_BORN = 1_700_000_000_000
-"""When the first endpoints started, in milliseconds."""
+"""Start time of the first incarnations, in milliseconds."""
 
 DOWN_S = 0.5
-"""How long an endpoint that starts again is down, in seconds."""
+"""How long a restarting endpoint is down, in seconds."""
 
 COLD_S = 2.0
 """How long an endpoint is cold after a start, in seconds."""
 
 
 class World:
-    """Everything that the soak started, and what it saw.
+    """All parts of the system under test, and what was observed of them.
 
     Args:
-        seed: Of all choices.
-        net: Second part of the entries' loopback numbers; apart for soaks side by side.
-        folder: For settings and logs.
-        entries: How many there are.
-        theme: What the soak is about.
+        seed: Seed of all random choices.
+        net: Second byte of the entries' loopback addresses; differs between parallel soaks.
+        folder: Directory for settings and logs.
+        entries: Number of entries.
+        theme: The special behaviour that the soak tests.
     """
 
     def __init__(
@@ -102,7 +104,7 @@
         self.seen.outcomes = self.callers.outcomes
 
     def start(self) -> None:
-        """Start everything but the callers."""
+        """Start everything except the callers."""
         self.configure()
         for service in SERVICES:
             for _ in range(WORKERS_EACH):
@@ -115,7 +117,7 @@
         """Start the callers."""
         eventlet.spawn(self._operate)
         eventlet.spawn(self._watch_itself)
-        # The endpoints stay as they are: more callers ask less often each.
+        # The number of endpoints does not grow: with more callers, each sends less often.
         callers = min(max(CALLERS, len(self.entries)), MOST_CALLERS)
         self.callers.pause_s *= callers / CALLERS
         for number in range(callers):
@@ -123,7 +125,7 @@
             eventlet.spawn(self.callers.run_one, key)
 
     def end(self) -> None:
-        """End everything that was started."""
+        """Stop everything that was started."""
         self.callers.is_over = True
         for entry in self.entries:
             entry.end()
@@ -136,21 +138,21 @@
         return [(entry.name, proxy.address) for entry, proxy in pairs]
 
     def _added(self) -> int:
-        """Return the newest version that must be in force."""
+        """Return the newest version that every entry must have applied."""
         limit = time.monotonic() - CONFIG_S
         return max(sum(when <= limit for when, _ in self.seen.routed), 1)
 
     def _look_after_entries(self) -> None:
-        """Start again what has ended, as the platform does."""
+        """Restart entries that exited, as the platform does."""
         while not self.callers.is_over:
             eventlet.sleep(0.2)
             for entry in self.entries:
                 entry.look()
 
-    # What the operator and the endpoints do.
+    # Actions of the operator and of endpoints.
 
     def configure(self) -> None:
-        """Publish the next configuration; it moves the plain route to another service."""
+        """Publish the next configuration; it moves the plain route to the other service."""
         self._version += 1
         service = SERVICES[self._version % len(SERVICES)]
         content = _configuration(self._version, service, has_lives=self.theme.has_lives)
@@ -159,13 +161,13 @@
         self.seen.routed.append((time.monotonic(), service))
 
     def _operate(self) -> None:
-        """Publish a configuration now and then, so that one follows each fault soon."""
+        """Publish configurations regularly, so that one follows soon after each fault."""
         while not self.callers.is_over:
             eventlet.sleep(self.rng.uniform(*CHANGES_S))
             self.configure()
 
     def _watch_itself(self) -> None:
-        """Note when this process stood still: everything passes through its proxies."""
+        """Record stalls of this process as faults: all traffic passes through it."""
         while not self.callers.is_over:
             before = time.monotonic()
             eventlet.sleep(LOOK_S)
@@ -202,7 +204,7 @@
 
     def _publish(self, worker: Worker, state: str, *, cold_s: float = 0.0) -> None:
         self._entries_written += 1
-        entry = endpoint_record(
+        record = endpoint_record(
             service=worker.service,
             address=worker.proxy.address,
             zone=worker.hall,
@@ -212,10 +214,10 @@
             sequence=self._entries_written,
             cold_remaining_ms=cold_s * 1000,
         )
-        self.store.put(f"servers/{worker.name}", entry)
+        self.store.put(f"servers/{worker.name}", record)
 
     def replace_worker(self, name: str) -> None:
-        """Let an endpoint leave in order, after another has taken its place."""
+        """Start another endpoint, then let this one drain and leave."""
         worker = self.workers.pop(name)
         self.add_worker(worker.service)
         self._publish(worker, "draining")
@@ -224,12 +226,12 @@
         self.store.delete(f"servers/{name}")
 
     def _end_under(self, name: str) -> None:
-        """Let an endpoint end under a request, unless it ends already."""
+        """Crash an endpoint because of a request, unless it already crashed or leaves."""
         if name in self.workers:
             self.crash_worker(name)
 
     def crash_worker(self, name: str) -> None:
-        """Let an endpoint crash; it is published for a while longer, then replaced."""
+        """Crash an endpoint; its record stays for a while, then another replaces it."""
         worker = self.workers.pop(name)
         self.harmed("", 1.0, of_engines=True)
         worker.crash()
@@ -238,7 +240,7 @@
         self.add_worker(worker.service)
 
     def restart_worker(self, name: str, *, is_dark: bool) -> None:
-        """Let an endpoint end and start again under its id, cold."""
+        """Stop an endpoint abruptly and restart it, cold, under the same id."""
         old = self.workers.pop(name)
         self.harmed("", 1.0)
         if is_dark:
@@ -255,7 +257,7 @@
             self._publish(new, "ready")
 
     def empty_hall(self, hall: str, for_s: float) -> None:
-        """Give the order to empty a hall, if it does not stand, and withdraw it later."""
+        """Evacuate a data hall for a while, unless it is already evacuated."""
         if hall in self._emptied:
             return
         self._emptied.add(hall)
@@ -267,32 +269,32 @@
         self._emptied.remove(hall)
 
     def spoil_entry(self, name: str, value: bytes, for_s: float) -> None:
-        """Let another writer replace an endpoint's entry for a while."""
+        """Overwrite an endpoint's record with a wrong value for a while."""
         worker = self.workers[name]
         self.store.put(f"servers/{name}", value)
         eventlet.sleep(for_s)
         if self.workers.get(name) is worker:
             self._publish(worker, "ready")
 
-    # What is noted for the promises.
+    # Records for the checks of invariants.
 
     def harmed(self, entry: str, for_s: float, *, of_engines: bool = False) -> None:
-        """Note that answers may be cut at an entry; at all if its name is empty."""
+        """Record that an entry may cut responses; an empty name stands for all entries."""
         now = time.monotonic()
         self.seen.harms.append(Span(entry, now, now + for_s, of_engines))
 
     def harm_store(self, for_s: float) -> None:
-        """Note that the store is harmed."""
+        """Record a fault of the store or of connections to it."""
         now = time.monotonic()
         self.seen.store.append(Span("store", now, now + for_s))
 
     def stopped(self, entry: str, for_s: float) -> None:
-        """Note that an entry is told to stop."""
+        """Record that an entry was asked to stop."""
         now = time.monotonic()
         self.seen.stops.append(Span(entry, now, now + for_s))
 
     def mend(self) -> None:
-        """End every harm to connections and to the store."""
+        """End every fault of connections, endpoints and the store."""
         for proxy in self.store_proxies + self.callers_proxies:
             proxy.harm(Harm.NONE)
         for worker in self.workers.values():
