--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -42,7 +42,7 @@
 the shortest time limit of an invariant."""
 
 ADDED_ROUTES = 40
-"""Number of routes that stay configured; each version adds one."""
+"""Maximum number of added routes in a configuration; each version adds one."""
 
 HEARTBEATS_S = 1.0
 """How long the record of a crashed endpoint stays in the store, in seconds."""
@@ -91,8 +91,8 @@
         self._entries_written = 0
         self._emptied: set[str] = set()
         self.workers: dict[str, Worker] = {}
-        limit = (LIMIT_RATE * WINDOW_S + LIMIT_BURST) * (1 + LIMIT_OVER)
-        self.seen = Seen([], self._record, limit, WINDOW_S)
+        token_limit = (LIMIT_RATE * WINDOW_S + LIMIT_BURST) * (1 + LIMIT_OVER)
+        self.seen = Seen([], self._record, token_limit, WINDOW_S)
         self.store_proxies = [Proxy(self.store.address) for _ in range(entries)]
         self.entries = [
             EntryProcess(number, net, proxy.address, folder)
@@ -139,8 +139,8 @@
 
     def _added(self) -> int:
         """Return the newest version that every entry must have applied."""
-        limit = time.monotonic() - CONFIG_S
-        return max(sum(when <= limit for when, _ in self.seen.routed), 1)
+        latest = time.monotonic() - CONFIG_S
+        return max(sum(when <= latest for when, _ in self.seen.routed), 1)
 
     def _look_after_entries(self) -> None:
         """Restart entries that exited, as the platform does."""
@@ -171,10 +171,10 @@
         while not self.callers.is_over:
             before = time.monotonic()
             eventlet.sleep(LOOK_S)
-            late_s = time.monotonic() - before - LOOK_S
-            if late_s > LATE_S:
-                self.seen.harms.append(Span("", before, before + LOOK_S + late_s))
-                self.seen.late_s += late_s
+            stall_s = time.monotonic() - before - LOOK_S
+            if stall_s > LATE_S:
+                self.seen.harms.append(Span("", before, before + LOOK_S + stall_s))
+                self.seen.late_s += stall_s
 
     def add_worker(self, service: str) -> None:
         """Start an endpoint and publish it."""
@@ -226,7 +226,7 @@
         self.store.delete(f"servers/{name}")
 
     def _end_under(self, name: str) -> None:
-        """Crash an endpoint because of a request, unless it already crashed or leaves."""
+        """Crash an endpoint because of a request, unless it already crashed or drains."""
         if name in self.workers:
             self.crash_worker(name)
 
@@ -240,7 +240,12 @@
         self.add_worker(worker.service)
 
     def restart_worker(self, name: str, *, is_dark: bool) -> None:
-        """Stop an endpoint abruptly and restart it, cold, under the same id."""
+        """Stop an endpoint abruptly and restart it, cold, under the same id.
+
+        Args:
+            name: The endpoint's id.
+            is_dark: Whether its connections fall silent instead of being reset.
+        """
         old = self.workers.pop(name)
         self.harmed("", 1.0)
         if is_dark:
