--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks: decisions and costs, measured on stand-ins."""
+"""Benchmarks of decisions and costs, run on stand-ins."""
--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -1,7 +1,7 @@
-"""Plays days with one mechanism switched off at a time, paired against all on.
+"""Runs days with one mechanism disabled at a time, paired with days with all enabled.
 
-The users' bench is named by its path, as are the site files; neither is part of the
-repository. Processor time is not charged, so that days can be played side by side.
+The customers' bench and their site files are given by path; neither is part of the
+repository. CPU time is not charged, so that days can run in parallel.
 """
 
 from __future__ import annotations
@@ -26,91 +26,91 @@
 
 MECHANISMS = (
     Edit(
-        "places kept for higher tiers",
+        "slots reserved for higher tiers",
         "direct/endpoint_selection.py",
         "RESERVED_FRACTION = 0.12",
         "RESERVED_FRACTION = 0.0",
     ),
     Edit(
-        "one entry that gives out places",
+        "one entry that grants all slots",
         "direct/entry_settings.py",
         "    is_coordinated: bool = True\n",
         "    is_coordinated: bool = False\n",
     ),
     Edit(
-        "one extra request",
+        "one request beyond the slots",
         "direct/endpoint_selection.py",
         "EXTRA_REQUESTS = 1\n",
         "EXTRA_REQUESTS = 0\n",
     ),
     Edit(
-        "engines that end a stream in time",
+        "preference for engines that meet the deadline",
         "direct/endpoint_selection.py",
         "    return quick or rows",
         "    return rows",
     ),
     Edit(
-        "engines that a prompt holds up",
+        "avoiding long stalls by prefill",
         "direct/endpoint_selection.py",
         "    if not objective_s or not rows:",
         "    if True:",
     ),
     Edit(
-        "price of holding streams up",
+        "cost of stalling streams",
         "direct/endpoint_selection.py",
         "STALL_COST_S = 0.3",
         "STALL_COST_S = 0.0",
     ),
     Edit(
-        "price of crowded places",
+        "price of slots under load",
         "direct/endpoint_selection.py",
         "LOAD_SLOT_PRICE = 0.3",
         "LOAD_SLOT_PRICE = 0.0",
     ),
     Edit(
-        "price of running long",
+        "base price of a slot",
         "direct/endpoint_selection.py",
         "BASE_SLOT_PRICE = 0.1",
         "BASE_SLOT_PRICE = 0.0",
     ),
     Edit(
-        "prompt parts kept by engines",
+        "cached prompt prefixes",
         "direct/endpoints.py",
         "PREFIX_CACHED_S = 30.0",
         "PREFIX_CACHED_S = -1.0",
     ),
     Edit(
-        "refusals when requests come",
+        "early rejection on arrival",
         "direct/dispatching.py",
         "    return job.is_retry or ",
         "    return True or job.is_retry or ",
     ),
     Edit(
-        "in time before late",
+        "requests in time before late ones",
         "direct/dispatching.py",
         "    return job.rank, late, job.first_attempt_at",
         "    return job.rank, False, job.first_attempt_at",
     ),
     Edit(
-        "limits let in evenly",
+        "burst limit of quotas",
         "direct/token_quota.py",
         "        if not self._is_within_burst(organisation, buckets):",
         "        if False:",
     ),
     Edit(
-        "low tiers leave a part of limits",
+        "quota reserve for higher tiers",
         "direct/token_quota.py",
         "TIER_RESERVE_FRACTION = 0.04",
         "TIER_RESERVE_FRACTION = 0.0",
     ),
     Edit(
-        "what peers spent since they told",
+        "estimate of unreported usage of peers",
         "direct/token_quota.py",
         "            unreported = self._estimate_unreported(buckets, now)\n",
         "            unreported = 0\n",
     ),
     Edit(
-        "failing endpoints left alone",
+        "circuit breaker of endpoints",
         "direct/endpoints.py",
         "        self.circuit_open_until = now + wait",
         "        self.circuit_open_until = 0.0",
@@ -122,12 +122,12 @@
         "return False",
     ),
 )
-"""What can be switched off. The past assumed after a loss of all entries is not among
-them: without it QUOTA breaks."""
+"""Mechanisms that can be disabled. The usage assumed after all entries lost their state is
+not among them: without it the rule QUOTA is broken."""
 
 
 class Play(NamedTuple):
-    """One day to be played."""
+    """One day to run."""
 
     mechanism: str
     site: Path
@@ -136,7 +136,7 @@
 
 
 class Played(NamedTuple):
-    """A day's worth, and the rules that it broke, as the bench prints them."""
+    """A day's value, and the rules that it broke, as the bench prints them."""
 
     play: Play
     worth: float
@@ -144,16 +144,16 @@
 
 
 class Bench(NamedTuple):
-    """The users' bench, and where copies of the repository lie."""
+    """The customers' bench, and the directory for copies of the repository."""
 
     program: Path
     work: Path
 
     def play(self, play: Play) -> Played:
-        """Play one day.
+        """Run one day.
 
         Raises:
-            click.ClickException: The bench printed no worth.
+            click.ClickException: The bench printed no value for the day.
         """
         why = f"Ablation trial: without {play.mechanism}"
         if play.mechanism == ALL_ON:
@@ -174,11 +174,11 @@
         return Played(play, *found)
 
     def copy(self, mechanism: str) -> Path:
-        """Return the folder of the copy without a mechanism."""
+        """Return the directory of the copy without a mechanism."""
         return self.work / mechanism.replace(" ", "-")
 
     def build(self, mechanism: Edit | None) -> None:
-        """Make the copy without a mechanism, and build it."""
+        """Make the copy without a mechanism and build it."""
         target = self.copy(mechanism.rule if mechanism else ALL_ON)
         copy_with(mechanism, target)
         for command in (["git", "init", "-q"], ["git", "add", "-A"]):
@@ -189,7 +189,7 @@
 
 
 def read_day(printed: str, day: str) -> tuple[float, str] | None:
-    """Return a day's worth and the rules it broke; ``None`` if the bench did not tell."""
+    """Return a day's value and the rules it broke; ``None`` if the output lacks them."""
     found = re.search(rf"^{day} +\S+ +\S+ +(-?[\d.]+) (.*)$", printed, re.M)
     if found is None:
         return None
@@ -198,38 +198,38 @@
 
 
 def table(played: Iterable[Played]) -> str:
-    """Return the differences to all on as a table: mean, spread, days, broken rules."""
-    worth = {row.play: row.worth for row in played}
+    """Return a table of differences to all enabled: mean, deviation, days, broken rules."""
+    value_of = {row.play: row.worth for row in played}
     broken = {row.play: row.broken for row in played if row.broken}
-    names = dict.fromkeys(play.mechanism for play in worth if play.mechanism != ALL_ON)
-    sites = dict.fromkeys(play.site for play in worth)
+    names = dict.fromkeys(play.mechanism for play in value_of if play.mechanism != ALL_ON)
+    sites = dict.fromkeys(play.site for play in value_of)
     lines = [
         "| without | " + " | ".join(site.stem for site in sites) + " | rules broken |",
         "|---" * (len(sites) + 2) + "|",
     ]
     for name in names:
-        cells = [_cell(worth, name, site) for site in sites]
+        cells = [_cell(value_of, name, site) for site in sites]
         rules = {broken[play] for play in broken if play.mechanism == name}
         lines.append(f"| {name} | {' | '.join(cells)} | {' '.join(sorted(rules))} |")
-    means = [_mean(worth, site) for site in sites]
+    means = [_mean(value_of, site) for site in sites]
     lines.append(f"| nothing (mean worth) | {' | '.join(means)} | |")
     return "\n".join(lines) + "\n"
 
 
-def _cell(worth: dict[Play, float], name: str, site: Path) -> str:
-    pairs = [
-        value - worth[play._replace(mechanism=ALL_ON)]
-        for play, value in worth.items()
+def _cell(value_of: dict[Play, float], name: str, site: Path) -> str:
+    differences = [
+        value - value_of[play._replace(mechanism=ALL_ON)]
+        for play, value in value_of.items()
         if play.mechanism == name and play.site == site
     ]
-    spread = statistics.stdev(pairs) if len(pairs) > 1 else 0.0
-    return f"{statistics.mean(pairs):+.4f} ({spread:.4f}, {len(pairs)})"
+    spread = statistics.stdev(differences) if len(differences) > 1 else 0.0
+    return f"{statistics.mean(differences):+.4f} ({spread:.4f}, {len(differences)})"
 
 
-def _mean(worth: dict[Play, float], site: Path) -> str:
+def _mean(value_of: dict[Play, float], site: Path) -> str:
     values = [
         value
-        for play, value in worth.items()
+        for play, value in value_of.items()
         if play.mechanism == ALL_ON and play.site == site
     ]
     return f"{statistics.mean(values):.4f}"
@@ -242,14 +242,16 @@
 
 
 @click.command()
-@click.option("--bench", "program", type=Path, required=True, help="The users' bench.")
+@click.option("--bench", "program", type=Path, required=True, help="The customers' bench.")
 @click.option("--site", "sites", type=Path, multiple=True, required=True)
-@click.option("--work", type=Path, required=True, help="An empty folder, not below /tmp.")
+@click.option(
+    "--work", type=Path, required=True, help="An empty directory, not below /tmp."
+)
 @click.option("--day", "days", multiple=True, default=DAYS, show_default=True)
 @click.option("--seed", "seeds", type=int, multiple=True, default=(1, 2, 3))
-@click.option("--only", multiple=True, help="Mechanisms; all if none is named.")
-@click.option("--jobs", default=8, show_default=True, help="Days played side by side.")
-@click.option("--keep", is_flag=True, help="Keep the table and the journal.")
+@click.option("--only", multiple=True, help="Mechanisms to disable; by default each.")
+@click.option("--jobs", default=8, show_default=True, help="Days run in parallel.")
+@click.option("--keep", is_flag=True, help="Keep the table and the journal entries.")
 def main(
     program: Path,
     sites: tuple[Path, ...],
@@ -260,20 +262,20 @@
     jobs: int,
     keep: bool,
 ) -> None:
-    """Play days without each mechanism, and print what each is worth."""
+    """Run days without each mechanism and print the value of each."""
     bench = Bench(program.resolve(), work.resolve())
     chosen = [edit for edit in MECHANISMS if not only or edit.rule in only]
     for edit in (None, *chosen):
         bench.build(edit)
     names = [ALL_ON, *(edit.rule for edit in chosen)]
     paths = [site.resolve() for site in sites]
-    plays = [Play(*found) for found in itertools.product(names, paths, days, seeds)]
+    plays = [Play(*row) for row in itertools.product(names, paths, days, seeds)]
     with ThreadPoolExecutor(jobs) as pool:
         played = list(pool.map(bench.play, plays))
-    found = table(played)
-    click.echo(found)
+    results = table(played)
+    click.echo(results)
     if keep:
-        RESULTS.write_text(f"# What each mechanism is worth\n\n{found}")
+        RESULTS.write_text(f"# Value of each mechanism\n\n{results}")
         _keep_journals(bench, names)
 
 
--- a/benchmarks/baseline.py
+++ b/benchmarks/baseline.py
@@ -1,8 +1,8 @@
-"""Baselines: a plain balancer that pushes each request to an engine at once.
+"""Baselines: a plain load balancer that sends each request to an engine at once.
 
-Two policies: round robin, and least load as the engines report it, with the report's
-lag. Both pass the tier on as the engine's priority and cancel when a caller leaves, so
-that what is measured is the choice of the engine and what is held back.
+Two policies: round robin, and least load by the engines' own reports, which lag. Both
+pass the tier on as the engine's priority and cancel requests of callers that
+disconnect, so that a comparison shows only the effect of engine selection and queueing.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from dockreach.standin_engine import serve  # noqa: E402
 
 LAG_S = 1.0
-"""Lag of the engines' load reports."""
+"""Interval at which the engines' load is polled, in seconds."""
 
 SERVICE_PREFIX = "/services/records"
 TIERS = {"bulletin": 0, "notice": 1, "lookup": 2}
@@ -56,7 +56,7 @@
         tier = TIERS.get(environ.get("HTTP_DOCKREACH_TIER", ""), 0)
         headers = {"X-Request-Id": rid, "X-Priority": str(tier)}
         try:
-            answer = self._pool.request(
+            response = self._pool.request(
                 environ["REQUEST_METHOD"],
                 target + path,
                 body=body or None,
@@ -66,42 +66,42 @@
         except (urllib3.exceptions.HTTPError, OSError):
             start("502 Bad Gateway", [("Content-Length", "0")])
             return iter(())
-        start(f"{answer.status} Answer", [("Dockreach-Request-Id", rid)])
-        return _Relay(self._pool, answer, f"{target}/v1/runs/{rid}")
+        start(f"{response.status} Answer", [("Dockreach-Request-Id", rid)])
+        return _Relay(self._pool, response, f"{target}/v1/runs/{rid}")
 
     def _choose(self) -> str:
         if self._policy == "round-robin":
             return next(self._turns)
-        least = min(self._loads.values())
+        lowest = min(self._loads.values())
         return self._rng.choice(
-            [name for name, load in self._loads.items() if load == least]
+            [name for name, load in self._loads.items() if load == lowest]
         )
 
     def read_loads(self) -> None:
-        """Read each engine's load, once a lag, for ever."""
+        """Poll each engine's load at every interval, without end."""
         while True:
             for engine in self._engines:
                 try:
-                    answer = self._pool.request("GET", f"{engine}/load", timeout=0.5)
-                    self._loads[engine] = msgspec.json.decode(answer.data)["running"]
+                    response = self._pool.request("GET", f"{engine}/load", timeout=0.5)
+                    self._loads[engine] = msgspec.json.decode(response.data)["running"]
                 except (urllib3.exceptions.HTTPError, OSError):
                     self._loads[engine] = 1_000_000
             _green.sleep(LAG_S)
 
 
 class _Relay:
-    """Passes an answer on, and cancels it if the caller leaves."""
+    """Relays a response, and cancels the request if the caller disconnects."""
 
-    def __init__(self, pool: urllib3.PoolManager, answer: Any, cancel: str) -> None:  # noqa: ANN401
+    def __init__(self, pool: urllib3.PoolManager, response: Any, cancel_url: str) -> None:  # noqa: ANN401
         self._pool = pool
-        self._answer = answer
-        self._cancel = cancel
+        self._answer = response
+        self._cancel = cancel_url
         self._ended = False
 
     def __iter__(self) -> Iterator[bytes]:
-        for part in self._answer.stream(65536):
-            # The engines number events for an agent; callers do not expect that.
-            lines = part.split(b"\n")
+        for chunk in self._answer.stream(65536):
+            # Engines send event ids for the agent; callers don't expect them.
+            lines = chunk.split(b"\n")
             yield b"\n".join(line for line in lines if not line.startswith(b"id: "))
         self._ended = True
 
@@ -109,7 +109,7 @@
         raise StopIteration
 
     def close(self) -> None:
-        """Called when the response has ended, or the caller has left."""
+        """Called when the response has ended or the caller has disconnected."""
         if not self._ended:
             self._pool.request("DELETE", self._cancel)
         self._answer.release_conn()
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,4 +1,4 @@
-"""Measures the slopes behind docs/CAPACITY.md: the cores alone, and real processes."""
+"""Measures how costs grow, for docs/CAPACITY.md: of the cores alone and of processes."""
 
 from __future__ import annotations
 
@@ -41,18 +41,18 @@
 RESULTS = Path("docs/results")
 IDLE_S = 8.0
 SETTLE_S = 5.0
-"""Time for a fresh fleet to get over its start, in which owners ask for their keys."""
+"""Time for a new fleet to settle: on start, key owners ask their peers for claims."""
 
 REPEATS = 300
 
 
 class Line(NamedTuple):
-    """A measured slope: what grows, with what, and how well a line fits.
+    """A measured cost, the variable it grows with, and the line that was fitted.
 
     Attributes:
-        base: Value where the variable is 0.
-        slope: Growth for each unit of the variable.
-        fit: R squared of the line.
+        base: Value of the line where the variable is 0.
+        slope: Increase for each unit of the variable.
+        fit: Coefficient of determination (R squared) of the line.
     """
 
     what: str
@@ -67,21 +67,21 @@
 def line(
     what: str, unit: str, variable: str, points: Sequence[tuple[float, float]]
 ) -> Line:
-    """Fit a line by least squares."""
+    """Fit a line to measured points by least squares."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
     spread = sum((x - mean_x) ** 2 for x, _ in points)
     slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
     base = mean_y - slope * mean_x
-    left = sum((y - base - slope * x) ** 2 for x, y in points)
+    residual = sum((y - base - slope * x) ** 2 for x, y in points)
     total = sum((y - mean_y) ** 2 for _, y in points)
-    fit = 1.0 if total == 0 else 1 - left / total
+    fit = 1.0 if total == 0 else 1 - residual / total
     return Line(what, unit, variable, list(points), base, slope, fit)
 
 
 def fleet(endpoints: int, entries: int = 1, organisations: int = 2) -> FleetSpec:
-    """Return a fleet of plain workers, whose agents are what is measured."""
+    """Return a fleet of plain workers; only their agents and entries are measured."""
     return FleetSpec(
         endpoints=[
             EndpointSpec(f"w{index}", "p", kind="service") for index in range(endpoints)
@@ -96,12 +96,12 @@
 
 
 def declared(endpoints: int, organisations: int) -> Declarations:
-    """Return the declarations of such a fleet."""
+    """Return the declarations of a fleet of plain workers."""
     return parse(fleet(endpoints, 1, organisations).declarations(1))
 
 
 def entry_world(agents: int) -> EntryWorld:
-    """Return an entry's core with some agents linked."""
+    """Return the core of an entry that is linked to a number of agents."""
     declarations = declared(agents, 2)
     world = EntryWorld("n0", 1, declarations, LimitTable("n0", started=-100.0))
     inbox: list[tuple[str, object]] = [("", Configured(declarations))]
@@ -111,7 +111,7 @@
 
 
 def request(number: int) -> Admit:
-    """Return a small request that waits for a long time."""
+    """Return a small request with a deadline so late that it keeps waiting."""
     return Admit(
         rid=f"r{number}",
         organisation="o0",
@@ -130,18 +130,18 @@
 
 
 def _micros(work: Callable[[int], None]) -> float:
-    """Return the best of three means, in microseconds a call."""
+    """Return the lowest of three mean times of a call, in microseconds."""
     best = float("inf")
-    for turn in range(3):
+    for repetition in range(3):
         start = time.perf_counter()
         for index in range(REPEATS):
-            work(turn * REPEATS + index)
+            work(repetition * REPEATS + index)
         best = min(best, (time.perf_counter() - start) / REPEATS)
     return 1e6 * best
 
 
 def entry_tick(waiting: int) -> float:
-    """Return the time of a tick that admits one request, with others waiting."""
+    """Return the time of a tick that admits one request while others wait."""
     world = entry_world(8)
     entry.tick(world, [("", request(index)) for index in range(waiting)], 0.1)
     base = 1_000_000
@@ -153,7 +153,7 @@
 
 
 def agent_world(organisations: int, holds: int) -> AgentWorld:
-    """Return an agent's core with some holds queued and no room."""
+    """Return the core of an agent that has holds queued and no capacity for them."""
     model = EngineModel(8, 4000.0, 0.02, 0.039)
     world = AgentWorld("w0", 1, model, PrefixIndex(1000), AgentPolicy(queue_limit=10**6))
     model.window = 0.0
@@ -170,7 +170,7 @@
 
 
 def agent_tick(organisations: int, holds: int) -> float:
-    """Return the time of a tick that queues a hold, picks one, and gives it back."""
+    """Return the time to queue a hold, grant one, and withdraw the grant: two ticks."""
     world = agent_world(organisations, holds)
     base = 10_000_000
 
@@ -187,10 +187,10 @@
 
 def _bytes_each(make: Callable[[], object], count: int) -> float:
     tracemalloc.start()
-    kept = make()
+    items = make()
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del kept
+    del items
     return size / count
 
 
@@ -220,7 +220,7 @@
 
 
 def config_cost(endpoints: int, organisations: int) -> tuple[float, int, int]:
-    """Return milliseconds to validate, bytes of the whole, and bytes of one change."""
+    """Return the validation time in ms, the bytes of all, and the bytes of one change."""
     spec = fleet(endpoints, 1, organisations)
     body = spec.declarations(1)
     start = time.perf_counter()
@@ -236,7 +236,7 @@
 
 
 class Cost(NamedTuple):
-    """What one idle daemon costs."""
+    """Resources that one idle daemon uses."""
 
     peers: float
     cores: float
@@ -245,7 +245,7 @@
 
 
 def idle(deployment: Deployment, processes: Sequence[Process]) -> Cost:
-    """Measure idle daemons over some seconds; the mean of them."""
+    """Measure idle daemons for ``IDLE_MEASUREMENT_S`` and return their mean costs."""
     names = (
         "dockreach_cpu_seconds_total",
         "dockreach_link_sent_bytes_total",
@@ -259,7 +259,7 @@
     before = read()
     _green.sleep(IDLE_S)
     after = read()
-    spent = [
+    used = [
         [new - old for new, old in zip(*pair, strict=True)]
         for pair in zip(after, before, strict=True)
     ]
@@ -268,14 +268,14 @@
     peers = sum(deployment.metric(row, "dockreach_peers") for row in processes)
     return Cost(
         peers / count,
-        sum(row[0] for row in spent) / count / IDLE_S,
+        sum(row[0] for row in used) / count / IDLE_S,
         resident / count / 1e6,
-        sum(row[1] + row[2] for row in spent) / count / IDLE_S,
+        sum(row[1] + row[2] for row in used) / count / IDLE_S,
     )
 
 
 def spread_s(deployment: Deployment) -> float:
-    """Return the time from publishing a revision until every daemon has it in force."""
+    """Return the time from publishing a revision until every daemon has applied it."""
     deployment.revision += 1
     start = time.monotonic()
     deployment.publish()
@@ -291,7 +291,7 @@
 
 
 def core_lines() -> list[Line]:
-    """Measure the cores alone."""
+    """Measure the cores alone, without processes."""
     waits = (100, 1000, 10_000)
     holds = (100, 1000, 10_000)
     orgs = (2, 40, 320)
@@ -344,19 +344,21 @@
 
 
 def process_lines(agents: Sequence[int], entries: Sequence[int]) -> list[Line]:
-    """Measure idle daemons and the spread of a revision, over real processes."""
-    entry_costs, spreads = [], []
+    """Measure idle daemons and the propagation of a revision, with real processes."""
+    entry_costs, propagation = [], []
     for count in agents:
         with Deployment(fleet(count, 2)) as deployment:
             entry_costs.append(idle(deployment, list(deployment.entries.values())))
-            spreads.append((float(count + 2), spread_s(deployment)))
-        click.echo(f"{count} agents: {entry_costs[-1]}, spread {spreads[-1][1]:.2f} s")
+            propagation.append((float(count + 2), spread_s(deployment)))
+        click.echo(
+            f"{count} agents: {entry_costs[-1]}, propagation {propagation[-1][1]:.2f} s"
+        )
     agent_costs = []
     for count in entries:
         with Deployment(fleet(4, count)) as deployment:
             agent_costs.append(idle(deployment, list(deployment.agents.values())))
         click.echo(f"{count} entries: {agent_costs[-1]}")
-    found = [line("revision in force everywhere", "s", "daemons", spreads)]
+    lines = [line("revision in force everywhere", "s", "daemons", propagation)]
     for role, costs in (("entry", entry_costs), ("agent", agent_costs)):
         for name, unit in (
             ("cores", "cores"),
@@ -364,14 +366,14 @@
             ("bytes_per_s", "B/s"),
         ):
             points = [(cost.peers, float(getattr(cost, name))) for cost in costs]
-            found.append(line(f"idle {role}", unit, "peers", points))
-    return found
+            lines.append(line(f"idle {role}", unit, "peers", points))
+    return lines
 
 
 def table(lines: Sequence[Line]) -> str:
-    """Return the slopes as a Markdown table."""
-    heads = "| what | unit | variable | points | at 0 | slope | R2 |"
-    rows = [heads, "|---|---|---|---|---|---|---|"]
+    """Return the lines as a Markdown table."""
+    header = "| what | unit | variable | points | at 0 | slope | R2 |"
+    rows = [header, "|---|---|---|---|---|---|---|"]
     for row in lines:
         points = ", ".join(f"{x:g}: {y:.4g}" for x, y in row.points)
         rows.append(
@@ -382,7 +384,7 @@
 
 
 def plot(lines: Sequence[Line]) -> None:
-    """Draw each sweep with its line."""
+    """Plot the points of each sweep with the fitted line."""
     import matplotlib as mpl  # noqa: PLC0415
 
     mpl.use("Agg")
@@ -406,7 +408,7 @@
 @click.option("--keep", is_flag=True, help="Write the figures under docs/results.")
 @click.option("--core-only", is_flag=True, help="Leave out the sweeps over processes.")
 def main(keep: bool, core_only: bool) -> None:
-    """Measure all slopes and print them."""
+    """Measure all costs and print the fitted lines."""
     lines = core_lines()
     if not core_only:
         lines += process_lines((8, 24, 48), (2, 6, 12))
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,4 +1,4 @@
-"""Measures the decisions: goodput by tier and wasted prefill, against two baselines."""
+"""Compares decisions with two baselines: goodput by tier and wasted prefill."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 SCENARIOS = ("calm", "burst", "slow-down", "kill")
 CALM_PART = 0.6
 BURST = 3.0
-"""Load of a burst, as a multiple of what the engines can do."""
+"""Load of a burst, as a multiple of the engines' capacity."""
 
 SLOW = 10.0
 
 
 @dataclass(slots=True)
 class Row:
-    """The figures of one system in one scenario."""
+    """The results of one system in one scenario."""
 
     scenario: str
     system: str
@@ -48,7 +48,7 @@
 
 
 def capacity(profile: Profile) -> float:
-    """Return the requests a second that the engines can do, by their declared speeds."""
+    """Return the capacity of the engines in requests/s, by declared speeds."""
     kinds = [kind for kind in profile.kinds if not kind.service]
     weight = sum(kind.weight for kind in kinds)
     total = 0.0
@@ -65,13 +65,13 @@
 
 
 def disturb(scenario: str, target: Target, after_s: float) -> None:
-    """Slow down or kill engines in the middle of a run."""
+    """Slow down or kill a sixth of the engines during a run."""
     _green.sleep(after_s)
     engines = [
         item.name for item in target.deployment.spec.endpoints if item.kind == "openai"
     ]
-    hit = engines[: max(1, len(engines) // 6)]
-    for name in hit:
+    affected = engines[: max(1, len(engines) // 6)]
+    for name in affected:
         if scenario == "slow-down":
             target.deployment.control(name, slow=SLOW)
         elif scenario == "kill":
@@ -79,16 +79,16 @@
 
 
 def measure(scenario: str, system: str, profile: Profile, seconds: float, seed: int) -> Row:
-    """Run one scenario on one system."""
-    full = capacity(profile)
-    rate = full * (BURST if scenario == "burst" else CALM_PART)
+    """Run one scenario on one system and return the results."""
+    full_rate = capacity(profile)
+    rate = full_rate * (BURST if scenario == "burst" else CALM_PART)
     with running(system, profile.fleet) as target:
         load = Load(target.urls, profile.kinds, seed=seed)
         if scenario in ("slow-down", "kill"):
             _green.spawn(disturb, scenario, target, seconds / 3)
         outcomes = load.run([(seconds, rate)])
         logs = target.deployment.run_log()
-    return _row(scenario, system, outcomes, logs, full)
+    return _row(scenario, system, outcomes, logs, full_rate)
 
 
 def _row(
@@ -96,16 +96,16 @@
     system: str,
     outcomes: Sequence[Outcome],
     logs: dict[str, dict[str, Any]],
-    able: float,
+    max_served: float,
 ) -> Row:
-    """Work out the figures; `able` is what the engines can do in a second."""
+    """Compute the results; ``max_served`` is the capacity in requests per second."""
     tiers = sorted({row.tier for row in outcomes})
     sent = {tier: sum(row.tier == tier for row in outcomes) for tier in tiers}
-    good = {
+    in_time_by_tier = {
         tier: sum(row.tier == tier and row.in_time for row in outcomes) for tier in tiers
     }
     ends = [row.sent_at + row.total_s for row in outcomes if row.in_time]
-    able *= max(ends, default=1.0)
+    max_served *= max(ends, default=1.0)
     in_time = {row.rid for row in outcomes if row.in_time}
     wasted = total = second = 0
     ran: dict[str, int] = {}
@@ -134,9 +134,9 @@
         scenario=scenario,
         system=system,
         sent=sent,
-        in_time=good,
-        goodput=sum(good.values()) / max(1, sum(sent.values())),
-        engine_use=sum(good.values()) / able,
+        in_time=in_time_by_tier,
+        goodput=sum(in_time_by_tier.values()) / max(1, sum(sent.values())),
+        engine_use=sum(in_time_by_tier.values()) / max_served,
         wasted_prefill=wasted,
         prefill=total,
         p95_first_s=percentile(first, 0.95),
@@ -149,27 +149,27 @@
 
 
 def _inversions(outcomes: Sequence[Outcome]) -> int:
-    """Return how many requests were shed although a lower tier's later one was served.
+    """Count requests that were shed although a later one of a lower tier was served.
 
-    Only refusals for pressure count, and only against requests that were sent while the
-    refused one was waiting and were whole.
+    Only refusals because of load count, and only if the request of the lower tier was
+    sent while the refused one waited, and its response was complete.
     """
     order = {"bulletin": 0, "notice": 1, "lookup": 2}
-    found = 0
+    count = 0
     for row in outcomes:
         if row.code not in ("shed", "floor"):
             continue
-        found += any(
+        count += any(
             order[other.tier] > order[row.tier]
             and row.sent_at < other.sent_at < row.sent_at + row.total_s
             and other.whole
             for other in outcomes
         )
-    return found
+    return count
 
 
 def write(rows: Sequence[Row], profile: str, seconds: float) -> None:
-    """Write the raw figures, a table and a plot."""
+    """Write the results as JSON, a table and a plot."""
     RESULTS.mkdir(parents=True, exist_ok=True)
     raw = json.dumps([asdict(row) for row in rows], indent=1)
     (RESULTS / f"decisions-{profile}.json").write_text(raw + "\n")
@@ -178,19 +178,19 @@
 
 
 def table(rows: Sequence[Row], profile: str, seconds: float) -> str:
-    """Return the figures as a Markdown table."""
+    """Return the results as a Markdown table."""
     tiers = sorted({tier for row in rows for tier in row.sent})
-    heads = ["scenario", "system", *(f"{tier} in time" for tier in tiers)]
-    heads += ["of capacity", "wasted prefill", "p95 first", "p95 first, top tier"]
-    heads += ["wrong verdicts", "second runs", "inversions"]
+    headings = ["scenario", "system", *(f"{tier} in time" for tier in tiers)]
+    headings += ["of capacity", "wasted prefill", "p95 first", "p95 first, top tier"]
+    headings += ["wrong verdicts", "second runs", "inversions"]
     lines = [
         f"# Decisions, profile {profile}",
         "",
         f"Made by `make bench`; {seconds:.0f} s of load for each row, sent to fresh "
         "stand-ins.",
         "",
-        "| " + " | ".join(heads) + " |",
-        "|" + "---|" * len(heads),
+        "| " + " | ".join(headings) + " |",
+        "|" + "---|" * len(headings),
     ]
     for row in rows:
         cells = [row.scenario, row.system]
@@ -219,18 +219,18 @@
     width = 0.25
     for index, system in enumerate(SYSTEMS):
         chosen = [row for row in rows if row.system == system]
-        places = [scenarios.index(row.scenario) + index * width for row in chosen]
+        positions = [scenarios.index(row.scenario) + index * width for row in chosen]
         top = [
             100 * row.in_time.get("bulletin", 0) / max(1, row.sent.get("bulletin", 0))
             for row in chosen
         ]
-        axes[0].bar(places, top, width, label=system)
+        axes[0].bar(positions, top, width, label=system)
         waste = [100 * row.wasted_prefill / max(1, row.prefill) for row in chosen]
-        axes[1].bar(places, waste, width, label=system)
+        axes[1].bar(positions, waste, width, label=system)
     axes[0].set_title("top tier in time, % of sent")
     axes[1].set_title("wasted prefill, % of prefill")
     for axis in axes:
-        axis.set_xticks([place + width for place in range(len(scenarios))], scenarios)
+        axis.set_xticks([position + width for position in range(len(scenarios))], scenarios)
         axis.legend()
     figure.suptitle(f"profile {profile}")
     figure.tight_layout()
@@ -239,11 +239,13 @@
 
 @click.command()
 @click.option("--profile", type=click.Choice(list(PROFILES)), default="small")
-@click.option("--seconds", default=20.0, help="Seconds of load for each row.")
+@click.option(
+    "--seconds", default=20.0, help="Duration of the load for each row, in seconds."
+)
 @click.option("--scenario", "scenarios", multiple=True, default=SCENARIOS)
 @click.option("--system", "systems", multiple=True, default=SYSTEMS)
 @click.option("--seed", default=1)
-@click.option("--keep", is_flag=True, help="Write the figures under docs/results.")
+@click.option("--keep", is_flag=True, help="Write the results under docs/results.")
 def main(
     profile: str,
     seconds: float,
--- a/benchmarks/digests.py
+++ b/benchmarks/digests.py
@@ -1,7 +1,7 @@
-"""Measures what an entry of the direct path spends on others: digests and limits.
+"""Measures what digests and quotas cost an entry of the direct path.
 
-Cores alone, no sockets: bytes of a digest, and processor time to make one, to take one in,
-and to admit a request, as the number of entries grows.
+Without sockets: the bytes of a digest, and the CPU time to encode one, to merge one and
+to admit a request, as the number of entries grows.
 """
 
 from __future__ import annotations
@@ -24,16 +24,16 @@
 REPEATS = 2000
 SIZES = (5, 29, 100, 380)
 ENDPOINTS = 40
-"""Endpoints that one entry has requests at: 29 requests a second of some seconds each."""
+"""Endpoints with requests of one entry, at 29 requests per second of a few seconds each."""
 
 ORGANISATIONS = 30
-"""Organisations that spent at one entry lately, of the target's 320."""
+"""Organisations that recently used tokens at one entry, of the 320 to be supported."""
 
 OWN = Address("10.0.0.1", 7600)
 
 
 class Row(NamedTuple):
-    """Costs at one number of entries; times in microseconds."""
+    """Costs for one number of entries; times in microseconds."""
 
     entries: int
     digest_bytes: int
@@ -43,30 +43,30 @@
 
 
 def measure(entries: int) -> Row:
-    """Measure one number of entries."""
+    """Measure the costs for one number of entries."""
     peers = PeerTable(OWN, ())
-    table = _endpoints()
+    endpoints = _endpoints()
     for number in range(entries - 1):
         peers.merge(_digest(number, 1), 1000.0)
-    spending = QuotaTable(peers, QuotaTolerance(), started_at=0.0, has_predecessor=False)
+    quotas = QuotaTable(peers, QuotaTolerance(), started_at=0.0, has_predecessor=False)
     sample = _digest(0, 1)
     data = encode(sample)
     organisation = Organisation("organisation-1", frozenset(), None, 1e9, 1e9, 200)
     numbers = iter(range(2, 10**9))
 
-    def take() -> None:
-        told = decode(encode(_digest(0, next(numbers), of=sample)))
-        assert isinstance(told, Digest)
-        heard = peers.merge(told, 1000.0)
-        before = heard.previous.digest.in_flight if heard.previous else {}
-        table.replace_peer_in_flight(before, told.in_flight)
+    def merge() -> None:
+        digest = decode(encode(_digest(0, next(numbers), of=sample)))
+        assert isinstance(digest, Digest)
+        merged = peers.merge(digest, 1000.0)
+        previous = merged.previous.digest.in_flight if merged.previous else {}
+        endpoints.replace_peer_in_flight(previous, digest.in_flight)
 
     return Row(
         entries,
         len(data),
         _time_us(lambda: encode(sample)),
-        _time_us(take),
-        _time_us(lambda: spending.admit(organisation, 1, 1000.0)),
+        _time_us(merge),
+        _time_us(lambda: quotas.admit(organisation, 1, 1000.0)),
     )
 
 
@@ -77,15 +77,15 @@
     return table
 
 
-def _digest(number: int, turn: int, of: Digest | None = None) -> Digest:
+def _digest(number: int, digest_number: int, of: Digest | None = None) -> Digest:
     if of is not None:
-        of.number = turn
+        of.number = digest_number
         return of
     return Digest(
         name=f"entry-{number}",
         address=Address(f"10.0.{number // 250}.{number % 250 + 2}", 7600),
         incarnation=number,
-        number=turn,
+        number=digest_number,
         age_s=100.0,
         leaving=False,
         revision=1,
@@ -98,10 +98,10 @@
 
 
 def _time_us(work: Callable[[], object]) -> float:
-    started = time.process_time()
+    started_at = time.process_time()
     for _ in range(REPEATS):
         work()
-    return (time.process_time() - started) / REPEATS * 1e6
+    return (time.process_time() - started_at) / REPEATS * 1e6
 
 
 @click.command()
@@ -109,7 +109,7 @@
 def main(*, keep: bool) -> None:
     """Print the table of costs."""
     lines = [
-        "| entries | bytes of a digest | us to encode | us to take | us to admit |",
+        "| entries | bytes of a digest | us to encode | us to merge | us to admit |",
         "|---|---|---|---|---|",
     ]
     for size in SIZES:
--- a/benchmarks/edited_copy.py
+++ b/benchmarks/edited_copy.py
@@ -1,4 +1,4 @@
-"""Copies of the repository in which one piece of a module's text is replaced."""
+"""Copies of the repository in which one passage of a module is replaced."""
 
 from __future__ import annotations
 
@@ -19,10 +19,11 @@
 
 
 class Edit(NamedTuple):
-    """What is switched off, and the text that does it.
+    """A replacement of source text that disables one rule.
 
     Attributes:
-        module: Path below the package.
+        rule: Short description of the rule.
+        module: Path of the module within the package.
     """
 
     rule: str
@@ -32,14 +33,14 @@
 
 
 class EditError(Exception):
-    """The text that an edit replaces is not in its module."""
+    """The module doesn't contain the text that an edit replaces."""
 
 
 def copy_with(edit: Edit | None, target: Path) -> None:
-    """Copy the repository and make one edit.
+    """Copy the repository and apply one edit, if given.
 
     Raises:
-        EditError: The text to be replaced is not there.
+        EditError: The module doesn't contain the text to be replaced.
     """
     shutil.copytree(ROOT, target, ignore=shutil.ignore_patterns(*SKIPPED))
     if edit is None:
@@ -47,5 +48,7 @@
     module = target / "dockreach" / edit.module
     text = module.read_text()
     if edit.before not in text:
-        raise EditError(f"{edit.module}: the text of '{edit.rule}' is not there")
+        raise EditError(
+            f"{edit.module}: the text to replace for '{edit.rule}' was not found"
+        )
     module.write_text(text.replace(edit.before, edit.after, 1))
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -1,7 +1,7 @@
-"""Ways to keep an endpoint's limit over all entries, cores alone: ``-m benchmarks.limits``.
+"""Compares ways to keep an endpoint's rate limit across entries, without sockets.
 
-Each entry has callers of its own, as unevenly as on the platform, who ask for more than the
-endpoint takes.
+Run it with ``python -m benchmarks.limits``. Each entry has callers of its own, as
+unevenly distributed as on the platform, who send more than the endpoint accepts.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 WINDOW_S = 4.0
 STEP_S = 0.02
 PRESSURE = 6.0
-"""Requests a second for each that the endpoint takes."""
+"""Requests that callers send for each one that the endpoint accepts."""
 
 OVER = 1.5
 SLACK = 5.0
@@ -31,7 +31,7 @@
 
 
 class Way(enum.StrEnum):
-    """How a limit is kept."""
+    """How the entries keep a rate limit."""
 
     ALONE = "each entry keeps to it by itself"
     PARTS = "each entry takes its part"
@@ -39,11 +39,11 @@
 
 
 class Result(NamedTuple):
-    """What an endpoint got.
+    """The requests that an endpoint received.
 
     Attributes:
-        per_s: Requests a second.
-        worst: The most in a window, as a part of what the rule allows.
+        per_s: Mean requests per second.
+        worst: Most requests in any window, as a fraction of what the rule allows.
     """
 
     per_s: float
@@ -51,12 +51,12 @@
 
 
 class _Entry:
-    def __init__(self, number: int, entries: int, way: Way) -> None:
+    def __init__(self, number: int, entries: int, policy: Way) -> None:
         peers = PeerTable(_address(number), ())
-        if way is Way.PARTS:
+        if policy is Way.PARTS:
             peers.seeds = tuple(_address(other) for other in range(entries))
         coordinators = CoordinatorSelector(
-            peers, capacity=1.0, started_at=-100.0, is_independent=way is Way.PARTS
+            peers, capacity=1.0, started_at=-100.0, is_independent=policy is Way.PARTS
         )
         self.table = EndpointTable()
         entry = Published("e", "work", "10.1.0.1:80", "hall", ALL_SLOTS, leaving=False)
@@ -74,11 +74,11 @@
     return Address(f"10.0.{number // 250}.{number % 250 + 1}", 7600)
 
 
-def play(way: Way, entries: int, rate: float, seed: int) -> Result:
-    """Play one way; all entries know the limit from the start."""
+def play(policy: Way, entries: int, rate: float, seed: int) -> Result:
+    """Simulate one policy; all entries know the limit from the start."""
     rng = random.Random(seed)
     shares = [1 / (number + 1) for number in range(entries)]
-    cores = [_Entry(number, entries, way) for number in range(entries)]
+    cores = [_Entry(number, entries, policy) for number in range(entries)]
     for core in cores:
         core.row.advertised.limit.apply(LimitReport(rate, -0.1, 0.0))
     times = []
@@ -87,7 +87,7 @@
         if rng.random() > PRESSURE * rate * STEP_S:
             continue
         (core,) = rng.choices(cores, shares)
-        if way is Way.COORDINATOR:
+        if policy is Way.COORDINATOR:
             core = cores[0]
         if core.guard.send_block(core.row, now) is None:
             core.guard.record_send(core.row, now)
@@ -97,16 +97,20 @@
 
 
 @click.command()
-@click.option("--seeds", default=3, help="Plays of each, from the same seeds.")
+@click.option("--seeds", default=3, help="Simulations of each row, with the same seeds.")
 def main(seeds: int) -> None:
-    """Print what an endpoint gets of what it takes, and the worst window."""
-    click.echo("| way | entries | takes | gets | worst window |\n|---|---|---|---|---|")
-    for way in Way:
+    """Print the accepted and the received rate of an endpoint, and the worst window."""
+    click.echo(
+        "| policy | entries | limit/s | received/s | worst window |\n|---|---|---|---|---|"
+    )
+    for policy in Way:
         for entries, rate in ((5, 1.0), (28, 1.0), (5, 6.0), (28, 6.0)):
-            found = [play(way, entries, rate, seed) for seed in range(seeds)]
-            gets = sum(result.per_s for result in found) / seeds
-            worst = max(result.worst for result in found)
-            click.echo(f"| {way} | {entries} | {rate:.0f} | {gets:.2f} | {worst:.2f} |")
+            results = [play(policy, entries, rate, seed) for seed in range(seeds)]
+            received = sum(result.per_s for result in results) / seeds
+            worst = max(result.worst for result in results)
+            click.echo(
+                f"| {policy} | {entries} | {rate:.0f} | {received:.2f} | {worst:.2f} |"
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -1,4 +1,4 @@
-"""Switches off one rule at a time in a copy of the package; the tests must notice."""
+"""Mutation tests: disables one rule at a time in a copy, where tests must then fail."""
 
 from __future__ import annotations
 
@@ -13,29 +13,29 @@
 from .edited_copy import Edit, copy_with
 
 IGNORED = ("test_failures.py", "test_ablation.py")
-"""Tests that need minutes, and those that only compare the edits with the code."""
+"""Tests that take minutes, and those that only compare the edits with the code."""
 
 MUTANTS = (
     Edit(
-        "a proof of not-run fences the request",
+        "proof that a request did not run fences it",
         "running.py",
         "    world.fence(message.rid, world.grant_number)\n    world.counters.fenced",
         "    world.counters.fenced",
     ),
     Edit(
-        "a commit needs its own grant, in force",
+        "a commit needs its own grant, which must be valid",
         "running.py",
         "grant is None or grant.number != message.number or grant.hold.entry != peer",
         "grant is None or message.number > world.grant_number",
     ),
     Edit(
-        "a grant ends with its lease",
+        "a grant expires with its lease",
         "running.py",
         "    if grant.expires <= world.now:\n        return Reason.GRANT_VOID\n",
         "",
     ),
     Edit(
-        "a lost link is no proof",
+        "a lost link is no proof that a request did not run",
         "membership.py",
         "            make_unclear(world, req)\n",
         "            from .commitment import place_again\n"
@@ -43,7 +43,7 @@
         "            place_again(world, req, Reason.FENCED)\n",
     ),
     Edit(
-        "a restarted agent does not vouch for its earlier life",
+        "a restarted agent does not answer for its previous incarnation",
         "running.py",
         "    if message.incarnation != world.incarnation:\n"
         "        _restarted(world, message.rid, peer, message.from_chunk)\n"
@@ -51,13 +51,13 @@
         "",
     ),
     Edit(
-        "a bound key is not claimed anew",
+        "a bound key cannot be claimed again",
         "claims.py",
         "    elif not row.state.agent or message.refuted == row.state.number:",
         "    else:",
     ),
     Edit(
-        "a restarted owner first asks its peers",
+        "a restarted owner first rebuilds its claims from its peers",
         "claims.py",
         "    if not _rebuilt(world):\n"
         "        world.deferred_claims.append((peer, message))\n"
@@ -65,7 +65,7 @@
         "",
     ),
     Edit(
-        "chunks leave in order",
+        "chunks are sent in order",
         "running.py",
         "    run.ahead[chunk.number] = chunk\n"
         "    while (chunk_next := run.ahead.pop(run.next_chunk, None)) is not None:\n"
@@ -73,7 +73,7 @@
         "    _keep(world, run, chunk)",
     ),
     Edit(
-        "an answer with chunks missing is not whole",
+        "a response with missing chunks is not complete",
         "running.py",
         "    whole = message.whole and run.next_chunk == message.chunks",
         "    whole = message.whole",
@@ -85,79 +85,79 @@
         "        for tier in sorted(self._tiers):\n            arrivals",
     ),
     Edit(
-        "a leaving endpoint takes nothing",
+        "a leaving endpoint gets no requests",
         "agent_tables.py",
         "        return self.leaving or self.drained or self.unreachable",
         "        return self.unreachable",
     ),
     Edit(
-        "a lender does not use what it lent",
+        "a lender does not use the share that it lent",
         "limits.py",
         "        share.lent.append(Loan(amount, now + LOAN_LEASE_S))\n",
         "",
     ),
     Edit(
-        "a borrower stops before the lender resumes",
+        "a borrower stops using a loan before the lender resumes",
         "limits.py",
         "        until = asked + loan.lease_ms / 1000 - LOAN_MARGIN_S",
         "        until = asked + 2 * loan.lease_ms / 1000",
     ),
     Edit(
-        "a new life uses no share while old loans may run",
+        "a new incarnation uses no share while old loans may be active",
         "limits.py",
         "if share is None or now < self.started + self.quiet_s:\n            return 0.0",
         "if share is None:\n            return 0.0",
     ),
     Edit(
-        "a revision never goes back",
+        "a revision never decreases",
         "spreading.py",
         "        if revision < self.revision:",
         "        if False:",
     ),
     Edit(
-        "two bodies under one revision are refused",
+        "two different bodies with one revision are refused",
         "spreading.py",
         "            if digest == self.digest:\n                return None\n",
         "            return None\n",
     ),
     Edit(
-        "a call to the platform after a failed one does not wait for changes",
+        "a platform call after a failed one does not wait for changes",
         "direct/feeds.py",
         "        if self.consecutive_failures:\n            fraction",
         "        if False:\n            fraction",
     ),
     Edit(
-        "a call to the platform is held no longer than a change may take",
+        "a platform call waits no longer than a change may take to be applied",
         "direct/feeds.py",
         "        longest_s = MAX_WAIT_FRACTION * apply_deadline_s\n",
         "        longest_s = 1.5 * apply_deadline_s\n",
     ),
     Edit(
-        "entries do not wait for changes in step",
+        "entries do not wait for changes in lockstep",
         "direct/feeds.py",
         "longest_s * random.uniform(1 - WAIT_JITTER_FRACTION, 1)",
         "longest_s",
     ),
     Edit(
-        "what cannot be tried again is sent on no connection that rested",
+        "a request without retries is not sent on a long-idle connection",
         "direct/forwarder.py",
         "None if self._has_another_attempt else MAX_IDLE_WITHOUT_RETRY_S",
         "None",
     ),
     Edit(
-        "after a silent connection no idle one is used",
+        "after a stalled connection no idle one is reused",
         "direct/forwarder.py",
         "                self._ctx.pool.close_all()\n",
         "                pass\n",
     ),
     Edit(
-        "a request whose caller has left is not served",
+        "a request whose caller has disconnected is not served",
         "direct/serving.py",
         "        if conn.has_disconnected():\n",
         "        if False:\n",
     ),
     Edit(
-        "entries that have just started name all others that they know",
+        "recently started entries report all peers that they know",
         "direct/peers.py",
         "            rows\n"
         "            if age_s < RECENT_START_S\n"
@@ -165,79 +165,79 @@
         "            self._round_robin.next_items(rows, max_count)\n",
     ),
     Edit(
-        "long rounds leave time between them",
+        "a pause follows a long scheduling round",
         "direct/scheduling.py",
         "if took_s > LONG_ROUND_S",
         "if False",
     ),
     Edit(
-        "a grant that is told twice is taken once",
+        "a grant that is sent twice is accepted once",
         "direct/slot_client.py",
         "        del session.waiting[job.number]\n        self._guard",
         "        self._guard",
     ),
     Edit(
-        "an entry whose coordinator is silent decides itself",
+        "an entry whose coordinator is unresponsive decides itself",
         "direct/slot_client.py",
         "            jobs.extend(self._abandon_coordinator(service, session))\n",
         "            self._abandon_coordinator(service, session)\n",
     ),
     Edit(
-        "a place at an endpoint that leaves is declined",
+        "a slot at a leaving endpoint is declined",
         "direct/slot_client.py",
         "        if block is not None:\n",
         "        if False:\n",
     ),
     Edit(
-        "a state that comes late changes nothing",
+        "a slot state that arrives late changes nothing",
         "direct/slot_server.py",
         "        if state.number <= client.state_number:\n            return False\n",
         "",
     ),
     Edit(
-        "a place that was granted is not granted again",
+        "a job that was granted a slot is not granted another",
         "direct/slot_server.py",
         "elif granted is None and number not in client.denied:",
         "elif number not in client.denied:",
     ),
     Edit(
-        "places of a silent entry come back",
+        "slots of a silent entry are released",
         "direct/slot_server.py",
         "if now - client.received_at > LEASE_S",
         "if False",
     ),
     Edit(
-        "who does not read the platform trusts no word that is old",
+        "an entry that is no reader trusts no outdated report",
         "direct/readers.py",
         "now - row.received_at + part.age_of(row.digest) <= trust_s",
         "True",
     ),
     Edit(
-        "after a failure one request goes first",
+        "after a failure a single request probes the endpoint",
         "direct/endpoint_selection.py",
         "not row.admits_request or row.free_slots",
         "row.free_slots",
     ),
     Edit(
-        "an endpoint whose address another has costs no attempt",
+        "a send to a reused address does not count as an attempt",
         "direct/forwarder.py",
         "attempt.outcome is not AttemptOutcome.MISDIRECTED",
         "True",
     ),
     Edit(
-        "an endpoint that may be cold is sent no more than it bears",
+        "an endpoint that may be cold gets no more than its budget",
         "direct/endpoint_selection.py",
         "return guard.has_budget(row, now) and not",
         "return not",
     ),
     Edit(
-        "an endpoint that names a limit is sent no more",
+        "an endpoint that advertises a limit gets no more requests",
         "direct/send_guard.py",
         "return SendBlock(BlockReason.RATE_LIMITED, next_at) if next_at > now else None",
         "return None",
     ),
     Edit(
-        "entries that decide alone share the limit that an endpoint names",
+        "independent entries share the limit that an endpoint advertises",
         "direct/send_guard.py",
         "others_s = (self._coordinators.entry_count_with_unseen - 1) * each_s",
         "others_s = 0.0",
@@ -249,133 +249,133 @@
         "if limit.next_due is None:",
     ),
     Edit(
-        "a place of one that has not heard of a limit is declined",
+        "a slot granted by an entry that does not know a limit is declined",
         "direct/send_guard.py",
         "        limit.is_active\n        and limit.next_due is not None\n",
         "        limit.is_active\n        and False\n",
     ),
     Edit(
-        "of two words on a limit that overlap the stricter counts",
+        "of two overlapping reports of a limit the stricter one applies",
         "direct/advertised_state.py",
         "if not report.is_after(known) and report.rate > known.rate:",
         "if False:",
     ),
     Edit(
-        "an endpoint that says in its answers that it leaves gets nothing",
+        "an endpoint whose responses announce that it leaves gets no requests",
         "direct/endpoints.py",
         "return self.published.leaving or self.advertised.is_leaving",
         "return self.published.leaving",
     ),
     Edit(
-        "that an endpoint leaves is for the rest of its life",
+        "an endpoint that leaves does so for the rest of its incarnation",
         "direct/endpoints.py",
         "                row.advertised = known.advertised\n",
         "",
     ),
     Edit(
-        "what a peer tells of another life changes nothing",
+        "a peer's report on another incarnation changes nothing",
         "direct/notice_tracker.py",
         "if row is None or row.published.born != relayed.born:",
         "if row is None:",
     ),
     Edit(
-        "an endpoint that asks for rest gets nothing from that entry",
+        "an endpoint that asks an entry to back off gets no requests from it",
         "direct/send_guard.py",
         "return SendBlock(BlockReason.BACKOFF, until) if until > now else None",
         "return None",
     ),
     Edit(
-        "the coordinator gives an entry no place that it declines",
+        "the coordinator grants an entry no slot that it would decline",
         "direct/slot_server.py",
         "blocked_until=_blocked_until(waiting_job, now),",
         "blocked_until={},",
     ),
     Edit(
-        "a rest is a matter of the entry that was asked for it",
+        "back-off applies only to the entry that was asked for it",
         "direct/send_guard.py",
         "backoff = None if job.for_peer else _backoff_block(row, now)",
         "backoff = _backoff_block(row, now)",
     ),
     Edit(
-        "an endpoint that is cold is sent less",
+        "a cold endpoint gets fewer requests",
         "direct/send_guard.py",
         "max_cold(service.cold_rate, bound) if is_cold else max_warm(bound, 1)",
         "max_warm(bound, 1)",
     ),
     Edit(
-        "few of those that decide alone use a cold endpoint",
+        "only a few independent entries use a cold endpoint",
         "direct/send_guard.py",
         "return is_due and self._is_permitted_sender(row, max_independent(bound), now)",
         "return is_due",
     ),
     Edit(
-        "a new coordinator is told what was sent before",
+        "a new coordinator receives the recent sends",
         "direct/slot_server.py",
         "                self._endpoints.record_send(send.endpoint, now - send.age_s)\n",
         "                pass\n",
     ),
     Edit(
-        "what was out of reach is cold when it is back",
+        "an endpoint that was unreachable is cold afterwards",
         "direct/warm_up.py",
         "            self.assumed_cold_since = now\n",
         "            pass\n",
     ),
     Edit(
-        "endpoints of a hall that was empty are cold",
+        "endpoints of a hall that was evacuated are cold",
         "direct/endpoints.py",
         "            if row.published.hall in self.evacuated - halls:\n",
         "            if False:\n",
     ),
     Edit(
-        "endpoints of an emptied hall get nothing",
+        "endpoints of an evacuated hall get no requests",
         "direct/endpoints.py",
         "not row.is_leaving and row.published.hall not in self.evacuated",
         "not row.is_leaving",
     ),
     Edit(
-        "an order that is older than what is known changes nothing",
+        "an outdated operator command changes nothing",
         "direct/evacuated_halls.py",
         "        if revision < self.revision:\n            return False\n",
         "",
     ),
     Edit(
-        "others are told that the operator gave an order",
+        "peers receive the revision of the operator commands",
         "direct/entry.py",
         "            orders_revision=self.evacuated.revision,\n",
         "",
     ),
     Edit(
-        "a request that ended its engines is not run",
+        "a request that crashed its engines is not run",
         "direct/request_handler.py",
         "if admission is Admission.QUARANTINED:",
         "if False:",
     ),
     Edit(
-        "nor is one that waits when the news comes",
+        "a request that is quarantined while it waits is not run",
         "direct/forwarder.py",
         "            if self._is_quarantined:\n",
         "            if False:\n",
     ),
     Edit(
-        "an end at another entry counts",
+        "a crash seen at another entry counts",
         "direct/crash_reporter.py",
         "            if self.quarantine.merge(report):",
         "            if False:",
     ),
     Edit(
-        "an end counts though the caller had left before it",
+        "a crash counts although the caller had disconnected before it",
         "direct/crash_reporter.py",
         "            self._add_pending(request._replace(is_connection_broken=False))\n",
         "            pass\n",
     ),
     Edit(
-        "who waits when the news comes is answered at once",
+        "waiting callers of a quarantined request are refused at once",
         "direct/entry.py",
         "        self.ctx.scheduler.refuse(fingerprint, QUARANTINED_REFUSAL)\n",
         "        return\n",
     ),
     Edit(
-        "entries that start together share the rest of a limit",
+        "entries that start together share the rest of a quota",
         "direct/token_quota.py",
         "used * self._peers.never_seen_count + unreported * len(\n"
         "            self._peers.fresh(now)\n"
@@ -383,97 +383,97 @@
         "0\n",
     ),
     Edit(
-        "tokens that are given back count from when they were spent",
+        "refunded tokens count from the time of their use",
         "direct/token_quota.py",
         "            self._record_usage(organisation.name, -tokens, used_at)\n",
         "            self._record_usage(organisation.name, -tokens, used_at + 2.0)\n",
     ),
     Edit(
-        "runs at the same time count once",
+        "overlapping runs count once",
         "direct/crash_history.py",
         "            if not sequential or run.sent_at >= sequential[-1].crashed_at:\n",
         "            if True:\n",
     ),
     Edit(
-        "after ends at a moment one copy is run at a time",
+        "after simultaneous crashes one copy is run at a time",
         "direct/quarantine.py",
         "if is_quarantined else history.probed_at + COPY_GAP_S",
         "if is_quarantined else now",
     ),
     Edit(
-        "ends of one moment leave room for later ones",
+        "simultaneous crashes leave room for later ones",
         "direct/crash_history.py",
         "run in counted, -run.crashed_at",
         "True, -run.crashed_at",
     ),
     Edit(
-        "trials that end engines at once are bounded",
+        "probes that crash engines at once are bounded",
         "direct/quarantine.py",
         "len(history.sequential_runs(self._crashed_at)) >= self._max_runs + MAX_PROBES",
         "history.evidence(self._crashed_at) >= self._max_runs + MAX_PROBES",
     ),
     Edit(
-        "so many runs after the third end, and no more",
+        "runs after the third crash are bounded",
         "direct/quarantine.py",
         "        if history.late_runs(self._crashed_at) >= MAX_LATE_RUNS:\n",
         "        if False:\n",
     ),
     Edit(
-        "an answer to others does not clear what was given up a moment ago",
+        "a response to others does not clear a request that was just abandoned",
         "direct/crash_reporter.py",
         "            if not request.is_connection_broken and request.ended_at >= since:\n",
         "            if False:\n",
     ),
     Edit(
-        "what a caller left early counts whole",
+        "a request that its caller abandoned early has full weight",
         "direct/crash_reporter.py",
         "            self._add_pending(request._replace(is_connection_broken=False))\n",
         "            self._add_pending(request)\n",
     ),
     Edit(
-        "an answer clears what was seen before it",
+        "a response clears the crashes recorded before it",
         "direct/quarantine.py",
         "        if not history.clear(history.crashes):\n            return False\n",
         "        return False\n",
     ),
     Edit(
-        "a connection that breaks is no end while somebody listens",
+        "a broken connection is no crash while the engine listens",
         "direct/crash_reporter.py",
         "        if self._has_exited(request.row):",
         "        if True:",
     ),
     Edit(
-        "an entry that has just started hears what is barred",
+        "a recently started entry receives the quarantined requests",
         "direct/quarantine.py",
         "if now - history.changed_at < GOSSIP_S or self._is_restricted(history)",
         "if now - history.changed_at < GOSSIP_S",
     ),
     Edit(
-        "what was met at the life before says nothing of the new one",
+        "measurements of the previous incarnation do not apply to the new one",
         "direct/endpoints.py",
         "        if row is None or sample.born not in (0, row.published.born):\n",
         "        if row is None:\n",
     ),
     Edit(
-        "an entry of an older life changes nothing",
+        "a record of an older incarnation changes nothing",
         "direct/endpoints.py",
         "            return PublishResult.STALE\n",
         "            pass\n",
     ),
     Edit(
-        "a new life holds nothing of the old one",
+        "a new incarnation keeps no state of the old one",
         "direct/endpoints.py",
         "            self._add(self._new_incarnation(known, published, now))\n",
         "            known.published = published\n            self._add(known)\n",
     ),
     Edit(
-        "requests of a life end with it",
+        "requests end with the incarnation that runs them",
         "direct/endpoint_sync.py",
         "            conn.abort()\n",
         "            pass\n",
     ),
     Edit(
-        "an answer that is ended by its endpoint's end is not whole",
+        "a response that its endpoint's end cuts off is not complete",
         "direct/endpoint_connection.py",
         "        if self._is_aborted:\n            # A response",
         "        if False:\n            # A response",
@@ -485,7 +485,7 @@
         "True",
     ),
     Edit(
-        "an organisation's regions bind, too",
+        "an organisation's regions apply, too",
         "direct/request_handler.py",
         "organisation.regions if organisation else frozenset()]",
         "frozenset()]",
@@ -494,17 +494,17 @@
 
 
 def tried(mutant: Edit) -> list[str]:
-    """Return the tests that notice a mutant.
+    """Return the ids of the tests that fail with a mutant.
 
     Raises:
-        EditError: The rule's text is no longer in the module.
+        EditError: The module no longer contains the text to be replaced.
     """
     with tempfile.TemporaryDirectory() as directory:
         copy = Path(directory) / "copy"
         copy_with(mutant, copy)
         options = ["-q", "-p", "no:cacheprovider"]
         options += [f"--ignore=tests/{name}" for name in IGNORED]
-        found = subprocess.run(  # noqa: S603
+        process = subprocess.run(  # noqa: S603
             [sys.executable, "-m", "pytest", *options, "tests"],
             cwd=copy,
             env={**os.environ, "PYTHONPATH": str(copy)},
@@ -512,19 +512,19 @@
             text=True,
             check=False,
         )
-    rows = [line for line in found.stdout.splitlines() if line.startswith("FAILED")]
+    rows = [line for line in process.stdout.splitlines() if line.startswith("FAILED")]
     return [line.removeprefix("FAILED ").split(" - ")[0] for line in rows]
 
 
 @click.command()
 def main() -> None:
-    """Try every mutant; exit with 1 if one goes unnoticed."""
+    """Test every mutant; exit with 1 if the tests miss one."""
     missed = 0
     for mutant in MUTANTS:
         tests = tried(mutant)
         missed += not tests
-        noticed = tests[0] if tests else "NOT NOTICED"
-        click.echo(f"{mutant.rule}: {noticed} ({len(tests)})")
+        first_failure = tests[0] if tests else "NOT DETECTED"
+        click.echo(f"{mutant.rule}: {first_failure} ({len(tests)})")
     sys.exit(1 if missed else 0)
 
 
--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -1,7 +1,7 @@
-"""What an entry and an agent add: first-token time and processor time per token.
+"""Measures the overhead of an entry and its agents: first-token time, CPU time per token.
 
-Paired in one run: the same requests go to an engine stand-in directly and through one
-entry and its agents. Processor time is read from the daemons' own metrics.
+Paired in one run: the same requests go to the engine stand-ins directly, and through
+one entry and its agents. CPU time is read from the daemons' own metrics.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class Figures(NamedTuple):
-    """One load through one entry, and the same asked directly."""
+    """Results of one load sent through one entry, and of the same load sent directly."""
 
     requests_per_s: float
     tokens_per_s: float
@@ -47,7 +47,7 @@
 
 
 def fleet() -> FleetSpec:
-    """Return fast engines with room, so that queuing does not count."""
+    """Return a fleet of fast engines with so many slots that no request queues."""
     engines = [
         EndpointSpec(
             f"engine{index}", "models", slots=64, prefill_rate=100_000.0, gap_ms=20.0
@@ -63,7 +63,7 @@
 
 
 def measure(deployment: Deployment, rate: float, tokens: int) -> Figures:
-    """Send one load both ways."""
+    """Send one load directly and through the entry."""
     kind = Kind("k", 1.0, "org", "bulletin", 100, tokens, deadline_s=60.0)
     engines = [f"http://127.0.0.1:{row.http}" for row in deployment.engines.values()]
     direct = Load(engines, [kind]).run([(SECONDS, rate)])
@@ -71,29 +71,29 @@
     entries = [f"http://127.0.0.1:{row.http}" for row in deployment.entries.values()]
     through = Load(entries, [kind]).run([(SECONDS, rate)])
     after = _cpu(deployment)
-    made = sum(row.whole for row in through) * tokens
-    span = max(row.sent_at + row.total_s for row in through)
+    tokens_received = sum(row.whole for row in through) * tokens
+    span_s = max(row.sent_at + row.total_s for row in through)
     entry_s = after["entry"] - before["entry"]
     agents_s = after["agent"] - before["agent"]
     return Figures(
-        requests_per_s=len(through) / span,
-        tokens_per_s=made / span,
+        requests_per_s=len(through) / span_s,
+        tokens_per_s=tokens_received / span_s,
         direct_p50_ms=_first(direct, 0.5),
         direct_p95_ms=_first(direct, 0.95),
         through_p50_ms=_first(through, 0.5),
         through_p95_ms=_first(through, 0.95),
-        entry_cores=entry_s / span,
-        agents_cores=agents_s / span,
-        entry_us_per_token=1e6 * entry_s / max(1, made),
-        agent_us_per_token=1e6 * agents_s / max(1, made),
+        entry_cores=entry_s / span_s,
+        agents_cores=agents_s / span_s,
+        entry_us_per_token=1e6 * entry_s / max(1, tokens_received),
+        agent_us_per_token=1e6 * agents_s / max(1, tokens_received),
         whole=sum(row.whole for row in through),
         sent=len(through),
     )
 
 
-def _first(rows: list[Outcome], part: float) -> float:
+def _first(rows: list[Outcome], fraction: float) -> float:
     values = [row.first_token_s for row in rows if row.first_token_s is not None]
-    return round(1000 * percentile(values, part), 1)
+    return round(1000 * percentile(values, fraction), 1)
 
 
 def _cpu(deployment: Deployment) -> dict[str, float]:
@@ -105,23 +105,23 @@
 
 
 LOADS = ((5.0, 100), (15.0, 100), (30.0, 100), (30.0, 200))
-"""Requests a second and tokens of each."""
+"""Pairs of requests per second and tokens of each request."""
 
 
 @click.command()
-@click.option("--keep", is_flag=True, help="Write the figures under docs/results.")
+@click.option("--keep", is_flag=True, help="Write the results under docs/results.")
 def main(keep: bool) -> None:
-    """Measure each load and print the figures."""
-    found: list[dict[str, Any]] = []
+    """Measure each load and print the results."""
+    results: list[dict[str, Any]] = []
     for rate, tokens in LOADS:
         with Deployment(fleet()) as deployment:
             figures = measure(deployment, rate, tokens)
-        found.append(figures._asdict())
+        results.append(figures._asdict())
         click.echo(f"{rate}/s of {tokens} tokens: {figures}")
     if keep:
         RESULTS.mkdir(parents=True, exist_ok=True)
         path = RESULTS / "overhead.json"
-        path.write_text(json.dumps(found, indent=1) + "\n")
+        path.write_text(json.dumps(results, indent=1) + "\n")
 
 
 if __name__ == "__main__":
--- a/benchmarks/replays/__init__.py
+++ b/benchmarks/replays/__init__.py
@@ -1,1 +1,1 @@
-"""Replays of load patterns against the decisions alone, without input or output."""
+"""Replays of load patterns against the decision logic alone, without I/O."""
--- a/benchmarks/replays/__main__.py
+++ b/benchmarks/replays/__main__.py
@@ -1,4 +1,4 @@
-"""Plays load patterns with more and more entries and prints what callers got."""
+"""Replays load patterns with rising numbers of entries and prints the outcomes."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 def _play(
     pattern: Pattern, entries: int, seeds: range, *, is_coordinated: bool, engines: int
 ) -> tuple[list[Totals], float]:
-    started = time.process_time()
-    found = []
+    started_at = time.process_time()
+    totals = []
     for seed in seeds:
         replay = Replay(
             pattern,
@@ -26,37 +26,41 @@
             seed=seed,
             is_coordinated=is_coordinated,
         )
-        found.append(replay.play())
-    return found, time.process_time() - started
+        totals.append(replay.play())
+    return totals, time.process_time() - started_at
 
 
-def _line(pattern: Pattern, entries: int, way: str, found: list[Totals]) -> str:
-    worths = [totals.worth for totals in found]
+def _line(pattern: Pattern, entries: int, mode: str, replays: list[Totals]) -> str:
+    values = [totals.worth for totals in replays]
     in_time = " ".join(
-        f"{mean(totals.part_in_time(kind) for totals in found):.3f}" for kind in KINDS
+        f"{mean(totals.part_in_time(kind) for totals in replays):.3f}" for kind in KINDS
+    )
+    spread = stdev(values) if len(values) > 1 else 0.0
+    refusals = sum(totals.refusals for totals in replays)
+    free_slots = sum(totals.free_at_refusal for totals in replays) / max(refusals, 1)
+    messages_per_s = (
+        mean(totals.messages for totals in replays) / entries / pattern.length_s
+    )
+    kilobytes_per_s = (
+        mean(totals.bytes for totals in replays) / entries / pattern.length_s / 1000
     )
-    spread = stdev(worths) if len(worths) > 1 else 0.0
-    refusals = sum(totals.refusals for totals in found)
-    free = sum(totals.free_at_refusal for totals in found) / max(refusals, 1)
-    sent = mean(totals.messages for totals in found) / entries / pattern.length_s
-    size = mean(totals.bytes for totals in found) / entries / pattern.length_s / 1000
     return (
-        f"| {pattern.name} | {entries} | {way} | {mean(worths):.3f} ({spread:.3f}) "
-        f"| {in_time} | {refusals / len(found):.0f} | {free:.0f} "
-        f"| {sent:.0f} | {size:.1f} |"
+        f"| {pattern.name} | {entries} | {mode} | {mean(values):.3f} ({spread:.3f}) "
+        f"| {in_time} | {refusals / len(replays):.0f} | {free_slots:.0f} "
+        f"| {messages_per_s:.0f} | {kilobytes_per_s:.1f} |"
     )
 
 
 @click.command()
-@click.option("--seeds", default=3, help="Replays of each row.")
+@click.option("--seeds", default=3, help="Replays for each row.")
 @click.option("--engines", default=39, help="Engines at the start.")
 @click.option("--entries", multiple=True, type=int, default=SIZES)
 @click.option("--only", default="", help="Part of a pattern's name.")
 def main(*, seeds: int, engines: int, entries: tuple[int, ...], only: str) -> None:
-    """Print a table: each entry alone against one that gives out all places."""
+    """Print a table that compares independent entries with one that grants all slots."""
     click.echo(
-        "| pattern | entries | places | worth (deviation) | in time: draft brief chat "
-        "| refusals | places free at a refusal | messages/s | KB/s |\n"
+        "| pattern | entries | mode | value (deviation) | in time: draft brief chat "
+        "| refusals | free slots at a refusal | messages/s | KB/s |\n"
         "|---|---|---|---|---|---|---|---|---|"
     )
     for pattern in PATTERNS:
@@ -64,15 +68,15 @@
             continue
         for count in entries:
             for is_coordinated in (False, True) if count > 1 else (False,):
-                way = "coordinated" if is_coordinated else "alone"
-                found, _ = _play(
+                mode = "coordinated" if is_coordinated else "independent"
+                replays, _ = _play(
                     pattern,
                     count,
                     range(1, seeds + 1),
                     is_coordinated=is_coordinated,
                     engines=engines,
                 )
-                click.echo(_line(pattern, count, way, found))
+                click.echo(_line(pattern, count, mode, replays))
 
 
 if __name__ == "__main__":
--- a/benchmarks/replays/engine.py
+++ b/benchmarks/replays/engine.py
@@ -1,4 +1,4 @@
-"""An engine as the replays know it: places, a queue, and prompts read one after another."""
+"""Model of an engine for replays: slots, a queue, and prefill of one prompt at a time."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 FIRST_S = 0.064
 READ_S = 1 / 32_400
 GAP_S = 0.0188
-"""Time to a first event besides the reading, to read a token, and between events, in
-seconds, of an engine with the time factor 1: the users' drafting engines."""
+"""Time to the first event without prefill, prefill time of a token, and time between
+events, in seconds, of an engine with time factor 1: the customers' drafting engines."""
 
 CROWD = 0.004
-"""How much longer the time between events gets with each request beside it."""
+"""Relative increase of the time between events for each request in a slot."""
 
 
 @dataclass(slots=True)
@@ -22,8 +22,8 @@
     """One request at an engine.
 
     Attributes:
-        on_first: Called when its first event comes.
-        on_end: Called when it has ended; with ``False`` if it was cut off.
+        on_first: Called when the first event is sent.
+        on_end: Called when the request has ended; with ``False`` if it was cut off.
     """
 
     tokens: int
@@ -34,11 +34,12 @@
 
 @dataclass(slots=True)
 class Engine:
-    """Works on some requests at a time; others wait in its queue.
+    """Runs as many requests as it has slots; others wait in its queue.
 
     Attributes:
-        call_at: Calls a function at a time.
-        beyond: Most requests that waited in its queue.
+        speed: Factor on all times; a higher one is slower.
+        call_at: Schedules a function call at a given time.
+        beyond: Highest number of requests that waited in the queue.
     """
 
     id: str
@@ -52,7 +53,7 @@
     _reads_until: float = 0.0
 
     def take(self, run: Run, now: float) -> None:
-        """Take in a request."""
+        """Accept a request."""
         if self.is_gone:
             run.on_end(now, False)
             return
@@ -61,7 +62,7 @@
         self.beyond = max(self.beyond, len(self.queue))
 
     def drop(self, run: Run, now: float) -> None:
-        """End a request whose caller has left."""
+        """Cancel a request whose caller has disconnected."""
         if run in self.running:
             self.running.remove(run)
         elif run in self.queue:
@@ -69,7 +70,7 @@
         self._start(now)
 
     def go(self, now: float) -> None:
-        """Cut off all requests; take none any more."""
+        """Cut off all requests, and from now on every new one."""
         self.is_gone = True
         for run in [*self.running, *self.queue]:
             run.on_end(now, False)
@@ -80,9 +81,9 @@
         while self.queue and len(self.running) < self.slots:
             run = self.queue.popleft()
             self.running.append(run)
-            read = max(self._reads_until, now) + run.tokens * READ_S * self.speed
-            self._reads_until = read
-            self.call_at(read + FIRST_S * self.speed, partial(self._first, run))
+            prefill_end = max(self._reads_until, now) + run.tokens * READ_S * self.speed
+            self._reads_until = prefill_end
+            self.call_at(prefill_end + FIRST_S * self.speed, partial(self._first, run))
 
     def _first(self, run: Run, now: float) -> None:
         if run not in self.running:
@@ -92,7 +93,7 @@
         self.call_at(now + run.events * gap_s, partial(self._end, run))
 
     def gap_s(self) -> float:
-        """Return the time between events now, in seconds."""
+        """Return the present time between events, in seconds."""
         return GAP_S * self.speed * (1 + CROWD * len(self.running))
 
     def _end(self, run: Run, now: float) -> None:
--- a/benchmarks/replays/fleet.py
+++ b/benchmarks/replays/fleet.py
@@ -1,4 +1,4 @@
-"""Entries' cores before engines, under a clock of their own."""
+"""Simulation of the decision logic of entries in front of engines, with its own clock."""
 
 from __future__ import annotations
 
@@ -32,23 +32,23 @@
 IDLE_DIGEST_S = 0.25
 ROUND_S = 0.1
 START_S = 100.0
-"""Age of all entries when a replay begins, in seconds."""
+"""Age of all entries at the start of a replay, in seconds."""
 
 
 class Clock:
-    """Calls functions in the order of their times."""
+    """Simulated clock that makes scheduled calls in the order of their times."""
 
     def __init__(self) -> None:
         self._due: list[tuple[float, int, Callable[[float], None]]] = []
         self._order = itertools.count()
         self.now = START_S
 
-    def call_at(self, when: float, call: Callable[[float], None]) -> None:
-        """Call a function at a time."""
-        heapq.heappush(self._due, (when, next(self._order), call))
+    def call_at(self, time_s: float, call: Callable[[float], None]) -> None:
+        """Schedule a call of a function at a given time."""
+        heapq.heappush(self._due, (time_s, next(self._order), call))
 
     def run_until(self, end: float) -> None:
-        """Call what is due up to a time."""
+        """Make all calls that are due up to a given time."""
         while self._due and self._due[0][0] <= end:
             self.now, _, call = heapq.heappop(self._due)
             call(self.now)
@@ -56,10 +56,10 @@
 
 @dataclass(slots=True)
 class Totals:
-    """What callers got.
+    """Counts of requests by their outcome, and of messages between entries.
 
     Attributes:
-        free_at_refusal: Sum of the places that stood free when somebody was refused.
+        free_at_refusal: Sum, over all refusals, of the slots that were free at the time.
     """
 
     asked: Counter[str] = field(default_factory=Counter)
@@ -74,22 +74,22 @@
 
     @property
     def worth(self) -> float:
-        """What was earned of what could be, from callers' first tries."""
-        owed = sum(kind.worth * self.asked[kind.name] for kind in KINDS)
+        """Value of the responses as a fraction of the highest; retries add nothing."""
+        possible = sum(kind.worth * self.asked[kind.name] for kind in KINDS)
         earned = sum(
             kind.worth * self.in_time[kind.name] + kind.late_worth * self.late[kind.name]
             for kind in KINDS
         )
-        return earned / owed if owed else 1.0
+        return earned / possible if possible else 1.0
 
     def part_in_time(self, kind: Kind) -> float:
-        """Return the part of a kind's requests that were answered in time."""
+        """Return the fraction of a kind's requests that were answered in time."""
         return self.in_time[kind.name] / max(self.asked[kind.name], 1)
 
 
 @dataclass(slots=True)
 class Request:
-    """One caller's request, over all its tries."""
+    """One caller's request, over all its attempts."""
 
     kind: Kind
     tokens: int
@@ -99,7 +99,7 @@
 
 
 class EntryCores:
-    """The decisions of one entry, with messages handed over by the replay."""
+    """The decision logic of one entry, whose messages are delivered by the replay."""
 
     def __init__(self, replay: Replay, number: int) -> None:
         self.replay = replay
@@ -128,9 +128,9 @@
         self._waiting: dict[int, Request] = {}
 
     def submit(self, req: Request, now: float) -> None:
-        """Take a caller's request."""
+        """Accept a caller's request."""
         route = self.replay.routes[req.kind.name]
-        ends = req.tried_at + req.kind.deadline_s
+        deadline = req.tried_at + req.kind.deadline_s
         job = Job(
             rid="",
             route=route,
@@ -140,8 +140,8 @@
             expected_events=float(req.events),
             prefix=(),
             arrived_at=now,
-            queue_deadline=now + queue_timeout_s(route, ends - now),
-            deadline=ends,
+            queue_deadline=now + queue_timeout_s(route, deadline - now),
+            deadline=deadline,
             estimated_first_attempt_at=req.tried_at,
         )
         self._waiting[id(job)] = req
@@ -151,7 +151,7 @@
         self.pump(now)
 
     def pump(self, now: float) -> None:
-        """Decide what can be decided now."""
+        """Run a scheduling round, and send the messages that are due."""
         for job in self.asker.fall_back(now):
             self.dispatcher.submit(job)
         for decision in self.dispatcher.run_round(now):
@@ -169,11 +169,11 @@
             self.replay.send(state, address, now)
             if state.waiting:
                 self.replay.clock.call_at(now + 0.031, self.pump)
-        for address, answer in self.granter.pending_replies():
-            self.replay.send(answer, address, now)
+        for address, reply in self.granter.pending_replies():
+            self.replay.send(reply, address, now)
 
     def round(self, now: float) -> None:
-        """Do what is done ten times a second."""
+        """Run the tasks that an entry runs ten times per second."""
         for job in self.asker.refresh_coordinators(now):
             self.dispatcher.submit(job)
         self.granter.expire(now)
@@ -182,8 +182,8 @@
         self.replay.clock.call_at(now + ROUND_S, self.round)
 
     def tell(self, now: float) -> None:
-        """Send a digest, now and then."""
-        under_way = {
+        """Send a digest to all other entries, and schedule the next one."""
+        in_flight = {
             row.id: row.in_flight_here for row in self.endpoints if row.in_flight_here
         }
         digest = Digest(
@@ -195,7 +195,7 @@
             leaving=False,
             revision=1,
             endpoints_revision=1,
-            in_flight=under_way,
+            in_flight=in_flight,
             used={},
             fleet_used={},
             known_peers=[],
@@ -206,7 +206,7 @@
         self.replay.clock.call_at(now + max(self.peers.digest_interval_s, 0.05), self.tell)
 
     def receive(self, message: Message, now: float) -> None:
-        """Take in a message."""
+        """Handle a message from another entry."""
         if isinstance(message, SlotState):
             if self.granter.handle_state(message, now):
                 self.pump(now)
@@ -215,10 +215,10 @@
                 self._act_on(decision, now)
             self._send_due(now)
         elif isinstance(message, Digest):
-            heard = self.peers.merge(message, now)
-            if heard.is_new:
-                old = self._counted(heard.previous.digest) if heard.previous else {}
-                if self.endpoints.replace_peer_in_flight(old, self._counted(message)):
+            merged = self.peers.merge(message, now)
+            if merged.is_new:
+                previous = self._counted(merged.previous.digest) if merged.previous else {}
+                if self.endpoints.replace_peer_in_flight(previous, self._counted(message)):
                     self.pump(now)
 
     def _counted(self, digest: Digest) -> dict[str, int]:
@@ -233,13 +233,13 @@
             self.replay.refuse(req, decision.refusal.retry_after_s, now)
             return
         engine = self.replay.engines[decision.endpoint.id]
-        sent = now
+        sent_at = now
         row = decision.endpoint
 
         def on_first(at: float) -> None:
             if job.found_free_slot:
-                tokens = job.prefill_ahead + job.prefill_tokens
-                row.record_measurement(SampleKind.FIRST_EVENT, at - sent, tokens)
+                prefill_tokens = job.prefill_ahead + job.prefill_tokens
+                row.record_measurement(SampleKind.FIRST_EVENT, at - sent_at, prefill_tokens)
             row.record_measurement(SampleKind.GAP, engine.gap_s())
             job.end_prefill()
             self.asker.record_prefill_end(job)
@@ -248,10 +248,10 @@
             counts = self.replay.totals.in_time if is_in_time else self.replay.totals.late
             outcomes.append(counts)
 
-        def on_end(at: float, is_whole: bool) -> None:
+        def on_end(at: float, is_complete: bool) -> None:
             self.dispatcher.release(job)
             self.asker.drop(job)
-            counts = outcomes[0] if is_whole and outcomes else self.replay.totals.cut
+            counts = outcomes[0] if is_complete and outcomes else self.replay.totals.cut
             counts[req.kind.name] += 1
             self.replay.clock.call_at(at, self.pump)
 
@@ -261,15 +261,15 @@
 
 
 class Replay:
-    """One pattern played with some entries.
+    """Replay of one load pattern with a number of entries.
 
     Args:
-        pattern: What happens.
-        entries: How many entries there are.
-        engines: How many engines there are at the start.
-        seed: Draws arrivals, lengths, delays and losses.
-        is_coordinated: Whether one entry gives out the places.
-        loss: Part of the messages that are lost.
+        pattern: The load and the changes of the engines.
+        entries: Number of entries.
+        engines: Number of engines at the start.
+        seed: Seed of arrivals, lengths, delays and losses.
+        is_coordinated: Whether one entry grants all slots.
+        loss: Fraction of the messages that are lost.
     """
 
     def __init__(
@@ -299,18 +299,18 @@
             self._add_engine()
 
     def play(self) -> Totals:
-        """Play the pattern; return what callers got."""
-        begin = self.clock.now
+        """Run the replay and return its totals."""
+        started_at = self.clock.now
         for number, entry in enumerate(self.entries):
-            self.clock.call_at(begin - 2 + 0.01 * number, entry.tell)
-            self.clock.call_at(begin - 1 + 0.001 * number, entry.round)
+            self.clock.call_at(started_at - 2 + 0.01 * number, entry.tell)
+            self.clock.call_at(started_at - 1 + 0.001 * number, entry.round)
         for kind in KINDS:
             for when, count in self.pattern.arrivals(kind, self._first_engines, self._rng):
                 for _ in range(count):
-                    self.clock.call_at(begin + when, self._arrive(kind))
+                    self.clock.call_at(started_at + when, self._arrive(kind))
         for change in self.pattern.changes:
-            self.clock.call_at(begin + change.at_s, partial(self._change, change.part))
-        self.clock.run_until(begin + self.pattern.length_s + 15.0)
+            self.clock.call_at(started_at + change.at_s, partial(self._change, change.part))
+        self.clock.run_until(started_at + self.pattern.length_s + 15.0)
         return self.totals
 
     def _arrive(self, kind: Kind) -> Callable[[float], None]:
@@ -325,7 +325,7 @@
         return arrive
 
     def refuse(self, req: Request, retry_after_s: float | None, now: float) -> None:
-        """Let a caller come back once, at another entry, or give up."""
+        """Let a caller retry once at a random entry, or count the request as refused."""
         self.totals.refusals += 1
         self.totals.free_at_refusal += sum(
             max(engine.slots - len(engine.running) - len(engine.queue), 0)
@@ -341,7 +341,7 @@
         self.clock.call_at(now + retry_after_s, lambda at: entry.submit(req, at))
 
     def send(self, message: Message, address: Address, now: float) -> None:
-        """Hand a message over after a delay, or lose it."""
+        """Deliver a message after a random delay, or drop it."""
         self.totals.messages += 1
         self.totals.bytes += len(encode(message))
         if self._network.random() < self._loss:
@@ -352,17 +352,17 @@
 
     def _add_engine(self) -> None:
         number = len(self.engines)
-        speed = self.pattern.speeds[number % len(self.pattern.speeds)]
-        engine = Engine(f"e-{number}", SLOTS, speed, self.clock.call_at)
+        time_factor = self.pattern.speeds[number % len(self.pattern.speeds)]
+        engine = Engine(f"e-{number}", SLOTS, time_factor, self.clock.call_at)
         self.engines[engine.id] = engine
         for entry in self.entries:
             entry.endpoints.publish(
                 Published(engine.id, SERVICE, f"10.1.0.{number}:80", "hall", SLOTS, False)
             )
 
-    def _change(self, part: float, now: float) -> None:
-        count = round(abs(part) * self._first_engines)
-        if part > 0:
+    def _change(self, fraction: float, now: float) -> None:
+        count = round(abs(fraction) * self._first_engines)
+        if fraction > 0:
             for _ in range(count):
                 self._add_engine()
             return
--- a/benchmarks/replays/patterns.py
+++ b/benchmarks/replays/patterns.py
@@ -1,4 +1,4 @@
-"""Load patterns as data: what callers ask for, and what happens to engines meanwhile."""
+"""Load patterns as data: the requests of callers, and changes of the engines."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
     """A kind of request.
 
     Attributes:
-        rate: Requests a second for each engine.
+        rate: Requests per second for each engine of the fleet.
         prompt_tokens: Mean of an exponential distribution.
         events: Mean of an exponential distribution.
-        worth: Of an answer in time.
-        late_worth: Of an answer that is late.
+        worth: Value of a response that meets the objective.
+        late_worth: Value of a response that comes later.
     """
 
     name: str
@@ -36,7 +36,7 @@
     late_worth: float
 
     def route(self) -> Route:
-        """Return the route that its requests come on."""
+        """Return the route of its requests."""
         return Route(
             name=self.name,
             host="tools.example",
@@ -61,11 +61,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Burst:
-    """More requests than usual for a while.
+    """A period with more requests than usual.
 
     Attributes:
-        factor: How many times the usual rate.
-        kind: Name of the kind; empty for all.
+        factor: Factor on the usual rate.
+        kind: Name of the kind of requests; empty for all kinds.
     """
 
     start_s: float
@@ -76,10 +76,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """Engines that join, empty, or go at once.
+    """Engines that start with empty caches, or stop, all at once.
 
     Attributes:
-        part: Of all engines; negative if they go.
+        part: Fraction of the initial engines; negative if they stop.
     """
 
     at_s: float
@@ -88,12 +88,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Pattern:
-    """What happens in one replay.
+    """The load and the changes of engines in one replay.
 
     Attributes:
-        swing: By how much the load rises and falls as a wave, as a part of its mean.
-        clump: Requests that come together on the mean.
-        speeds: Time factors of engines, by turns.
+        swing: Amplitude of a sine wave in the load, as a fraction of the mean load.
+        clump: Mean number of requests that arrive together.
+        speeds: Time factors of the engines, assigned in rotation.
     """
 
     name: str
@@ -107,7 +107,7 @@
     changes: tuple[Change, ...] = field(default=())
 
     def factor(self, kind: Kind, now: float) -> float:
-        """Return how many times a kind's usual rate comes at a time."""
+        """Return the factor on a kind's usual rate at a given time."""
         factor = self.load * (1 + self.swing * math.sin(2 * math.pi * now / self.wave_s))
         for burst in self.bursts:
             if burst.start_s <= now < burst.end_s and burst.kind in ("", kind.name):
@@ -117,7 +117,7 @@
     def arrivals(
         self, kind: Kind, engines: int, rng: random.Random
     ) -> Iterator[tuple[float, int]]:
-        """Return when requests of a kind come, and how many together."""
+        """Yield the arrival times of a kind's requests, and how many arrive together."""
         now = 0.0
         while True:
             rate = kind.rate * engines * self.factor(kind, now) / self.clump
--- a/benchmarks/run.py
+++ b/benchmarks/run.py
@@ -1,4 +1,4 @@
-"""Runs the benchmarks whose results stand under docs/results."""
+"""Runs the benchmarks whose results are kept under docs/results."""
 
 from __future__ import annotations
 
--- a/benchmarks/session.py
+++ b/benchmarks/session.py
@@ -1,4 +1,4 @@
-"""Records the operators' commands against a small running fleet."""
+"""Records a session of operator commands against a small running fleet."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 
 def record(deployment: Deployment, directory: Path) -> list[str]:
-    """Run the commands one after the other and return what they printed."""
+    """Run the commands in sequence and return them with their output."""
     (directory / "fleet.ini").write_text(deployment.spec.declarations(1))
     lines: list[str] = []
 
     def run(*words: str) -> str:
-        shown = " ".join(f'"{word}"' if " " in word else word for word in words)
-        found = subprocess.Popen(  # noqa: S603
+        shown_command = " ".join(f'"{word}"' if " " in word else word for word in words)
+        process = subprocess.Popen(  # noqa: S603
             [sys.executable, "-m", "dockreach.cli", *words],
             cwd=directory,
             stdout=subprocess.PIPE,
@@ -42,23 +42,23 @@
                 "DOCKREACH_OPERATOR_KEY": OPERATOR_KEY,
             },
         )
-        text = found.communicate()[0].decode()
-        lines.extend([f"$ dockreach {shown}", text.rstrip(), ""])
-        return text
+        output = process.communicate()[0].decode()
+        lines.extend([f"$ dockreach {shown_command}", output.rstrip(), ""])
+        return output
 
     run("query", "engines order by queue desc")
     run("query", "requests where state=waiting order by age desc limit 5")
     run("query", "requests where state=committed and tier=bulletin limit 3")
     run("query", "config")
     run("query", "orgs where entry=entry1")
-    world = deployment.http.request(
+    response = deployment.http.request(
         "POST",
         f"{_entry(deployment)}/operators/query",
         json={"query": "requests where state=committed limit 1"},
         headers={"Authorization": f"Bearer {OPERATOR_KEY}"},
     ).json()
-    if world["rows"]:
-        run("why", world["rows"][0]["request"])
+    if response["rows"]:
+        run("why", response["rows"][0]["request"])
     run("drain", "engine3")
     run("check", "fleet.ini")
     run("report", "burn")
@@ -77,10 +77,10 @@
     with Deployment(profile.fleet) as deployment:
         urls = [f"http://127.0.0.1:{row.http}" for row in deployment.entries.values()]
         load = Load(urls, profile.kinds)
-        running = _green.spawn(load.run, [(LOAD_S, RATE)])
+        load_task = _green.spawn(load.run, [(LOAD_S, RATE)])
         _green.sleep(WARM_S)
         lines = record(deployment, deployment.directory)
-        running.wait()
+        load_task.wait()
     RESULT.parent.mkdir(parents=True, exist_ok=True)
     RESULT.write_text("\n".join(lines))
     click.echo(RESULT.read_text())
--- a/benchmarks/systems.py
+++ b/benchmarks/systems.py
@@ -1,4 +1,4 @@
-"""The systems that are compared: dockreach, and two baselines on the same stand-ins."""
+"""The systems under comparison: dockreach and two baselines, on the same stand-ins."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Target(NamedTuple):
-    """A running system: where callers go, and the deployment behind it."""
+    """A running system: the URLs for callers, and the deployment behind them."""
 
     urls: list[str]
     deployment: Deployment
@@ -20,20 +20,20 @@
 
 @contextmanager
 def running(system: str, fleet: FleetSpec) -> Iterator[Target]:
-    """Run one system on a fresh fleet of stand-ins."""
+    """Run one system on a new fleet of stand-ins."""
     deployment = Deployment(fleet)
-    extra: list[Process] = []
+    baselines: list[Process] = []
     try:
         if system == "dockreach":
             deployment.start()
-            entries = list(deployment.entries.values())
+            front_ends = list(deployment.entries.values())
         else:
             deployment.start_stand_ins()
-            extra = [_baseline(system, deployment) for _ in fleet.entries]
-            entries = extra
-        yield Target([f"http://127.0.0.1:{row.http}" for row in entries], deployment)
+            baselines = [_baseline(system, deployment) for _ in fleet.entries]
+            front_ends = baselines
+        yield Target([f"http://127.0.0.1:{row.http}" for row in front_ends], deployment)
     finally:
-        for process in extra:
+        for process in baselines:
             process.kill()
         deployment.stop()
 
--- a/dockreach/demo.py
+++ b/dockreach/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: a fleet on loopback, a mixed load, and a table of what came of it."""
+"""Demo: sends a mixed load to a fleet on loopback and prints a table of the outcomes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def outcome_table(outcomes: Sequence[Outcome], title: str) -> Table:
-    """Return a table of outcomes, one row a tier."""
+    """Return a table of outcomes with one row for each tier."""
     table = Table(title=title)
     for heading in ("tier", "sent", "whole", "in time", "refused", "p50 ms", "p95 ms"):
         table.add_column(heading, justify="left" if heading == "tier" else "right")
@@ -42,7 +42,7 @@
 
 
 def wasted_prefill(deployment: Deployment) -> tuple[int, int]:
-    """Return prompt tokens computed for answers that did not become whole, and all."""
+    """Return the prefilled tokens of requests that did not complete, and of all."""
     wasted = total = 0
     for log in deployment.run_log().values():
         for row in log.values():
@@ -54,7 +54,7 @@
 
 
 def second_runs(deployment: Deployment) -> int:
-    """Return how many request ids an engine was given more than once."""
+    """Return how many request ids were dispatched to engines more than once."""
     seen: dict[str, int] = {}
     for log in deployment.run_log().values():
         for rid, row in log.items():
@@ -65,7 +65,7 @@
 
 @click.command()
 @click.option("--profile", type=click.Choice(list(PROFILES)), default="small")
-@click.option("--seconds", default=SECONDS, help="How long requests are sent.")
+@click.option("--seconds", default=SECONDS, help="Duration of the load.")
 def main(profile: str, seconds: float) -> None:
     """Start a fleet of stand-ins and daemons, send a load, and print the outcome."""
     console = Console()
@@ -84,13 +84,13 @@
             progress.update(task, total=len(outcomes), completed=len(outcomes))
         console.print(outcome_table(outcomes, f"{profile}: first token by tier"))
         wasted, total = wasted_prefill(deployment)
-        twice = second_runs(deployment)
+        repeated = second_runs(deployment)
     console.print(f"wasted prefill: {wasted} of {total} prompt tokens")
-    console.print(f"requests run twice: {twice}")
-    left = [process.name for process in processes if alive(process.pid)]
-    console.print(f"processes left behind: {len(left)}")
+    console.print(f"requests run twice: {repeated}")
+    left_over = [process.name for process in processes if alive(process.pid)]
+    console.print(f"processes left behind: {len(left_over)}")
     whole = sum(row.whole for row in outcomes)
-    sys.exit(0 if outcomes and whole and not twice and not left else 1)
+    sys.exit(0 if outcomes and whole and not repeated and not left_over else 1)
 
 
 if __name__ == "__main__":
--- a/dockreach/launching.py
+++ b/dockreach/launching.py
@@ -1,6 +1,6 @@
-"""Starts daemons and stand-ins on loopback, for the demonstration, tests and benchmarks.
+"""Starts daemons and stand-ins on loopback, for the demo, tests and benchmarks.
 
-No daemon uses this module: a daemon starts no process.
+Daemons don't use this module: a daemon never starts a process.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OrganisationSpec:
-    """One organisation; its key is its name with ``-key``."""
+    """One organisation; its API key is its name followed by ``-key``."""
 
     name: str
     tiers: str
@@ -55,13 +55,13 @@
 
     @property
     def key(self) -> str:
-        """The organisation's key."""
+        """The organisation's API key."""
         return f"{self.name}-key"
 
 
 @dataclass(slots=True)
 class FleetSpec:
-    """What to start."""
+    """The endpoints and entries to start, and what is declared for them."""
 
     endpoints: list[EndpointSpec]
     organisations: list[OrganisationSpec]
@@ -81,7 +81,7 @@
     prefill_weight: float = 1.0
 
     def declarations(self, revision: int, extra: str = "") -> str:
-        """Return the declarations file of this fleet."""
+        """Return the text of this fleet's declarations file."""
         entries = ", ".join(name for name, _ in self.entries)
         parts = [
             f"[fleet]\nrevision={revision}\nentries={entries}\n"
@@ -126,12 +126,12 @@
         return self.popen.pid
 
     def send(self, number: int) -> None:
-        """Send a signal, unless the process has ended."""
+        """Send a signal, unless the process has already ended."""
         with contextlib.suppress(ProcessLookupError):
             self.popen.send_signal(number)
 
     def kill(self) -> None:
-        """Kill it at once and wait for its end."""
+        """Kill the process with SIGKILL and wait until it has ended."""
         self.send(signal.SIGKILL)
         self.popen.wait()
 
@@ -150,7 +150,7 @@
     """A running fleet of daemons and stand-ins on loopback.
 
     Args:
-        spec: What to start.
+        spec: The fleet to start.
     """
 
     def __init__(self, spec: FleetSpec) -> None:
@@ -213,13 +213,13 @@
         self.admin(config=body, revision=self.revision)
 
     def admin(self, **fields: Any) -> None:  # noqa: ANN401
-        """Tell the platform stand-in something."""
+        """Change the state of the platform stand-in through its ``/admin`` page."""
         assert self.platform is not None
         url = f"http://127.0.0.1:{self.platform.http}/admin"
         self.http.request("POST", url, body=msgspec.json.encode(fields))
 
     def publish_vms(self, leaving: tuple[str, ...] = (), but: tuple[str, ...] = ()) -> None:
-        """Publish the VM list, with some VMs leaving and some not listed."""
+        """Publish the VM list, with some VMs marked as leaving and some left out."""
         halls = {item.name: item.hall for item in self.spec.endpoints}
         halls.update(dict(self.spec.entries))
         rows = []
@@ -247,7 +247,7 @@
         return all(self.get(agent, "/readyz").status == 200 for agent in agents)
 
     def get(self, process: Process, path: str) -> urllib3.BaseHTTPResponse:
-        """Read one page of a process."""
+        """Fetch one HTTP page of a process."""
         url = f"http://127.0.0.1:{process.http}{path}"
         return self.http.request("GET", url, timeout=10.0)
 
@@ -258,12 +258,12 @@
         return sum(float(line.rsplit(" ", 1)[1]) for line in rows)
 
     def control(self, engine: str, **fields: Any) -> None:  # noqa: ANN401
-        """Tell an engine stand-in how to behave."""
+        """Set the faults of an engine stand-in through its ``/control`` page."""
         url = f"http://127.0.0.1:{self.engines[engine].http}/control"
         self.http.request("POST", url, body=msgspec.json.encode(fields))
 
     def run_log(self) -> dict[str, dict[str, Any]]:
-        """Return the engines' own logs of runs, by engine."""
+        """Return the run logs of the engines that are up, by engine name."""
         logs = {}
         for name, process in self.engines.items():
             if process.popen.poll() is None:
@@ -271,7 +271,7 @@
         return logs
 
     def runs_of(self, rid: str) -> int:
-        """Return how often all engines together were given a request."""
+        """Return how many times a request was dispatched to engines, over all engines."""
         total = 0
         for log in self.run_log().values():
             row = log.get(rid, 0)
@@ -279,7 +279,7 @@
         return total
 
     def restart_agent(self, name: str) -> Process:
-        """Start an agent anew and publish where it is."""
+        """Start a new process for an agent and publish its address."""
         item = next(spec for spec in self.spec.endpoints if spec.name == name)
         self.agents[name] = self._agent(item)
         self._await_daemons([self.agents[name]])
@@ -287,7 +287,7 @@
         return self.agents[name]
 
     def restart_agent_in_place(self, name: str) -> Process:
-        """Start an agent anew at its old link address, telling nobody."""
+        """Start a new process for an agent at its old link address, without publishing."""
         item = next(spec for spec in self.spec.endpoints if spec.name == name)
         link = self.agents[name].link
         self.agents[name] = self._agent(item, link)
@@ -295,7 +295,7 @@
         return self.agents[name]
 
     def restart_entry(self, name: str) -> Process:
-        """Start an entry anew and publish where it is."""
+        """Start a new process for an entry and publish its address."""
         self.entries[name] = self._entry(name, dict(self.spec.entries)[name])
         self._await_daemons([self.entries[name]])
         self.publish_vms()
@@ -345,7 +345,7 @@
         return self.spawn(name, "dockreach.daemon", ["--config", str(path)])
 
     def spawn(self, name: str, module: str, options: list[str]) -> Process:
-        """Start a Python module as a process, with a log of its own."""
+        """Start a Python module as a process that logs to a file of its own."""
         self._starts += 1
         log = self.directory / f"{name}-{self._starts}.log"
         command = [sys.executable, "-m", module, *options]
@@ -366,7 +366,7 @@
 
 
 def read_port(process: Process) -> bool:
-    """Take a stand-in's port from its log; return whether it is there."""
+    """Set a stand-in's port from its log; return whether the log has it."""
     for line in process.log.read_text().splitlines():
         if line.startswith("listening "):
             process.http = int(line.split()[1])
@@ -384,21 +384,21 @@
 
 
 def wait_until(condition: Any, what: str, seconds: float = START_S) -> None:  # noqa: ANN401
-    """Wait for a condition.
+    """Wait until a condition holds.
 
     Raises:
-        TimeoutError: It did not come true in time.
+        TimeoutError: The condition did not hold in time.
     """
-    until = time.monotonic() + seconds
+    deadline = time.monotonic() + seconds
     while not condition():
-        if time.monotonic() > until:
+        if time.monotonic() > deadline:
             raise TimeoutError(f"waited {seconds} s for {what}")
         time.sleep(POLL_S)
 
 
 @contextlib.contextmanager
 def stopped(process: Process) -> Iterator[None]:
-    """Freeze a process for the length of a block."""
+    """Suspend a process for the duration of a ``with`` block."""
     process.send(signal.SIGSTOP)
     try:
         yield
--- a/dockreach/load.py
+++ b/dockreach/load.py
@@ -1,7 +1,7 @@
-"""A load generator: callers of several kinds, and what became of each request.
+"""A load generator that sends requests of several kinds and records their outcomes.
 
-It is a developers' tool, like the stand-ins. Arrivals are a Poisson process with a
-seed, so that two runs send the same requests.
+It is a development tool, like the stand-ins. Arrivals are a Poisson process with a
+fixed seed, so that two runs send the same requests.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from .prefix import CHARS_PER_TOKEN
 
 LEAVE_S = 0.5
-"""How long after its deadline a caller leaves."""
+"""Time from a request's deadline until its caller disconnects, in seconds."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -28,11 +28,11 @@
     """One kind of request.
 
     Attributes:
-        weight: Its part of all requests.
+        weight: Share of all requests, relative to the other kinds.
         prompt_tokens: Length of the prompt, in tokens.
-        shared_tokens: Length of the beginning that it shares with others of its kind.
-        variants: How many different shared beginnings there are.
-        deadline_s: Time for a whole answer.
+        shared_tokens: Length of the prompt prefix that requests of this kind share.
+        variants: Number of different shared prefixes.
+        deadline_s: Time allowed for the complete response.
         service: Name of a plain service; empty for a completion.
     """
 
@@ -50,7 +50,7 @@
 
 
 class Outcome(NamedTuple):
-    """What became of one request. Times are in seconds; ``None`` if not reached."""
+    """Outcome of one request. Times are in seconds; ``None`` if never reached."""
 
     kind: str
     tier: str
@@ -67,12 +67,12 @@
 
 @dataclass(slots=True)
 class Load:
-    """A load and its outcomes.
+    """Sends a load and collects its outcomes.
 
     Args:
-        urls: The entries; each request takes one at random, as behind a balancer.
-        kinds: What is sent.
-        seed: Makes the load repeatable.
+        urls: The entries; each request goes to a random one, as behind a load balancer.
+        kinds: Kinds of requests that are sent.
+        seed: Seed of the random numbers, which makes the load reproducible.
     """
 
     urls: Sequence[str]
@@ -87,23 +87,23 @@
         """Send requests and wait for all of them.
 
         Args:
-            phases: Pairs of seconds and requests a second.
+            phases: Pairs of a duration in seconds and a rate in requests per second.
         """
         rng = random.Random(self.seed)  # noqa: S311
         pool = urllib3.PoolManager(retries=False, maxsize=500)
         greenlets = []
         start = time.monotonic()
-        due = 0.0
+        due_s = 0.0
         for seconds, rate in phases:
-            until = due + seconds
-            while (due := due + rng.expovariate(rate)) < until:
-                wait = start + due - time.monotonic()
+            phase_end_s = due_s + seconds
+            while (due_s := due_s + rng.expovariate(rate)) < phase_end_s:
+                wait = start + due_s - time.monotonic()
                 _green.sleep(max(0.0, wait))
                 kind = rng.choices(self.kinds, [item.weight for item in self.kinds])[0]
                 call = Call(pool, rng.choice(self.urls), kind, rng.getrandbits(48), start)
                 self.sent += 1
                 greenlets.append(_green.spawn(self._one, call))
-            due = until
+            due_s = phase_end_s
         for greenlet in greenlets:
             greenlet.wait()
         return self.outcomes
@@ -129,20 +129,20 @@
         self._first: float | None = None
 
     def run(self, extra_headers: dict[str, str]) -> Outcome:
-        """Send the request and read its answer."""
+        """Send the request and read its response."""
         sent = time.monotonic()
         headers = self._headers() | extra_headers
-        status, verdict, code, rid, whole = 0, "", "", "", False
+        status, verdict, code, rid, is_complete = 0, "", "", "", False
         try:
-            answer = self._send(headers)
-            status = answer.status
-            verdict = answer.headers.get("Dockreach-Verdict", "")
-            rid = answer.headers.get("Dockreach-Request-Id", "")
+            response = self._send(headers)
+            status = response.status
+            verdict = response.headers.get("Dockreach-Verdict", "")
+            rid = response.headers.get("Dockreach-Request-Id", "")
             if status == 200:
-                whole = self._read(answer)
+                is_complete = self._read(response)
             else:
-                code = _error_code(answer.read())
-            answer.release_conn()
+                code = _error_code(response.read())
+            response.release_conn()
         except (urllib3.exceptions.HTTPError, OSError) as exc:
             code = code or type(exc).__name__
         total = time.monotonic() - sent
@@ -154,8 +154,8 @@
             verdict=verdict,
             code=code,
             rid=rid,
-            whole=whole,
-            in_time=whole and total <= self._kind.deadline_s,
+            whole=is_complete,
+            in_time=is_complete and total <= self._kind.deadline_s,
             first_token_s=None if self._first is None else self._first - sent,
             total_s=total,
         )
@@ -171,7 +171,7 @@
 
     def _send(self, headers: dict[str, str]) -> Any:  # noqa: ANN401
         kind = self._kind
-        # A caller leaves when its answer can no longer be in time.
+        # Callers disconnect when the response can no longer arrive in time.
         timeout = urllib3.Timeout(connect=5.0, read=kind.deadline_s + LEAVE_S)
         if kind.service:
             path = f"{self._url}/services/{kind.service}/item/{self._number}"
@@ -194,23 +194,23 @@
         )
 
     def _prompt(self) -> str:
-        """Return a prompt: a shared beginning, then text of this request alone."""
+        """Return a prompt: a shared prefix, then text that only this request has."""
         kind = self._kind
         variant = self._number % kind.variants
         shared = _filler(f"{kind.name} {variant} ", kind.shared_tokens)
-        own = _filler(f"{self._number:x} ", kind.prompt_tokens - kind.shared_tokens)
-        return shared + own
+        unique = _filler(f"{self._number:x} ", kind.prompt_tokens - kind.shared_tokens)
+        return shared + unique
 
-    def _read(self, answer: Any) -> bool:  # noqa: ANN401
-        """Read a stream; return whether it holds every token once and in order."""
+    def _read(self, response: Any) -> bool:  # noqa: ANN401
+        """Read a response; return whether it holds every token once and in order."""
         data = b""
-        leave_at = time.monotonic() + self._kind.deadline_s + LEAVE_S
-        for part in answer.stream(65536):
+        disconnect_at = time.monotonic() + self._kind.deadline_s + LEAVE_S
+        for chunk in response.stream(65536):
             if self._first is None:
                 self._first = time.monotonic()
-            data += part
-            if time.monotonic() > leave_at:
-                answer.close()
+            data += chunk
+            if time.monotonic() > disconnect_at:
+                response.close()
                 return False
         if self._kind.service:
             return f"/item/{self._number}".encode() in data
@@ -237,8 +237,8 @@
 
 
 def percentile(values: Sequence[float], part: float) -> float:
-    """Return a percentile of some values; not a number if there are none."""
+    """Return a percentile of the values; NaN if there are none."""
     if not values:
         return math.nan
-    ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
+    sorted_values = sorted(values)
+    return sorted_values[min(len(sorted_values) - 1, int(part * len(sorted_values)))]
--- a/dockreach/profiles.py
+++ b/dockreach/profiles.py
@@ -1,4 +1,4 @@
-"""Fleets and loads of known sizes: a small one, and the two users' of today."""
+"""Fleets and loads of fixed sizes: a small one, and those of the two current customers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Profile(NamedTuple):
-    """A fleet, a load for it, and the calm rate of requests a second."""
+    """A fleet, a load for it, and the rate of a calm load in requests per second."""
 
     fleet: FleetSpec
     kinds: list[Kind]
@@ -17,7 +17,7 @@
 
 
 _SPEEDS = (
-    # slots, prefill tokens a second, milliseconds between tokens
+    # slots, prefill tokens per second, milliseconds between tokens
     (8, 8000.0, 12.0),
     (6, 4000.0, 20.0),
     (4, 2000.0, 35.0),
@@ -56,7 +56,7 @@
 
 
 def _kinds(main: str, second: str, tiers: tuple[str, str, str]) -> list[Kind]:
-    """Return a mix in which lengths differ a hundredfold."""
+    """Return a mix of requests whose lengths differ by a factor of about a hundred."""
     top, middle, low = tiers
     return [
         Kind("bulletin", 2, main, top, 1500, 80, shared_tokens=1024, variants=4),
@@ -67,7 +67,7 @@
 
 
 def small() -> Profile:
-    """Three unlike engines, one plain service, two organisations, two entries."""
+    """Three engines of unlike speeds, one plain service, two organisations, two entries."""
     fleet = FleetSpec(
         endpoints=[*_engines(3, 1, "models"), *_workers("records", 1, 1)],
         organisations=[
@@ -114,12 +114,12 @@
 
 
 def bilbao() -> Profile:
-    """The software house: 30 engines, 5 drafting and 3 records workers."""
+    """A software house: 30 engines, 5 drafting and 3 records workers."""
     return _user(30, 5, 3, weight=2.0)
 
 
 def remar() -> Profile:
-    """The air quality network: 40 engines, 6 model and 3 station data workers."""
+    """An air quality network: 40 engines, 6 model and 3 station data workers."""
     return _user(40, 6, 3, weight=0.5)
 
 
--- a/dockreach/standin_engine.py
+++ b/dockreach/standin_engine.py
@@ -1,8 +1,9 @@
-"""A small stand-in of an engine, for tests, benchmarks and the demonstration.
+"""A stand-in for an engine, used by tests, benchmarks and the demo.
 
-It speaks the OpenAI-style protocol with the extensions that the adapter uses, and
-models prefill and decode speed, batch size and a bounded prefix cache. It can be told
-to slow, hang, cut or reorder. Its log of runs is the judge of at most once.
+It serves the OpenAI-style protocol with the extensions that the adapter uses, and
+models prefill and decode speed, batch size and a bounded prefix cache. It can be set
+to slow down, hang, or cut or reorder streams. Its log of runs shows whether a request
+ran at most once.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 STEP_S = 0.002
 IDLE_STEP_S = 0.005
 BATCH_COST = 0.5
-"""How much a full batch lengthens the gap between tokens."""
+"""Relative increase of the time between tokens when the batch is full."""
 
 KEPT_EVENTS = 500
 DEFAULT_OUTPUT = 64
@@ -40,7 +41,7 @@
 
 
 class Control(msgspec.Struct):
-    """What the stand-in is told to do to its callers."""
+    """Faults that the stand-in simulates, set through ``/control``."""
 
     slow: float = 1.0
     hang: bool = False
@@ -51,7 +52,7 @@
 
 
 class LogRow(msgspec.Struct):
-    """One request id's record: how often it was dispatched, and the work done."""
+    """Log row of one request id: how often it was dispatched, and the work done."""
 
     dispatched: int = 0
     prefilled: int = 0
@@ -83,12 +84,12 @@
         return self.produced >= self.output_tokens
 
     def token(self, index: int) -> str:
-        """Return the text of one generated token; it depends on the prompt only."""
+        """Return the text of one generated token; it depends only on the prompt."""
         return f"{self.seed}-{index} "
 
 
 class Engine:
-    """The engine's model: one prefill at a time, decoding in a batch."""
+    """Model of an engine that prefills one prompt at a time and decodes in a batch."""
 
     def __init__(
         self, prefill_rate: float, gap_s: float, batch: int, cache_blocks: int
@@ -111,7 +112,7 @@
         self._current: Run | None = None
 
     def submit(self, rid: str, priority: int, completion: Completion) -> Run:
-        """Take a request; the log counts it even if it was seen before."""
+        """Accept a request; the log counts it even if its id was seen before."""
         text = prompt_text(completion)
         limit = completion.max_completion_tokens or completion.max_tokens
         self._order += 1
@@ -131,7 +132,7 @@
         return run
 
     def order(self, order: Order) -> bool:
-        """Take an order unless it is older than the last one."""
+        """Apply an order; return ``False`` if its fence is not above the last one's."""
         if self.orders and order.fence <= self.orders[-1].fence:
             return False
         self.orders.append(order)
@@ -139,7 +140,7 @@
         return True
 
     def cancel(self, rid: str) -> bool:
-        """Stop a run; return whether it was known."""
+        """Cancel a run; return whether its id is known."""
         run = self.runs.get(rid)
         if run is None:
             return False
@@ -152,7 +153,7 @@
         return True
 
     def serve(self) -> None:
-        """Advance the model for ever."""
+        """Advance the model in real time, without end."""
         last = time.monotonic()
         while True:
             _green.sleep(STEP_S if self._busy() else IDLE_STEP_S)
@@ -186,9 +187,9 @@
                 run = self._current = self._next()
             if run is None:
                 return
-            spent = min(budget, run.left)
-            run.left -= spent
-            budget -= spent
+            prefilled = min(budget, run.left)
+            run.left -= prefilled
+            budget -= prefilled
             if run.left <= 0:
                 self._start_decoding(run, now)
                 self._current = None
@@ -260,9 +261,9 @@
             rows_after = [row for row in self.engine.events if row["number"] > after]
             return _json(start, rows_after)
         if path == "/v1/orders" and method == "POST":
-            taken = self.engine.order(msgspec.json.decode(body, type=Order))
-            status = "200 OK" if taken else "409 Conflict"
-            return _json(start, {"taken": taken}, status)
+            applied = self.engine.order(msgspec.json.decode(body, type=Order))
+            status = "200 OK" if applied else "409 Conflict"
+            return _json(start, {"taken": applied}, status)
         if path == "/v1/state":
             return _json(start, msgspec.to_builtins(self.engine.state))
         if path == "/orders":
@@ -316,20 +317,20 @@
         start("200 OK", headers + _work_headers(self.engine.log[run.rid]))
         return self._events(run, offset, direct)
 
-    def _events(self, run: Run, sent: int, direct: bool) -> Iterator[bytes]:
-        cut = self.engine.control.cut_after
-        first = sent
+    def _events(self, run: Run, next_index: int, direct: bool) -> Iterator[bytes]:
+        cut_after = self.engine.control.cut_after
+        first_index = next_index
         while not run.cancelled:
-            ready = list(range(sent, run.produced))
+            ready = list(range(next_index, run.produced))
             if self.engine.control.reorder:
                 ready.reverse()
-            if cut and run.produced - first >= cut and not run.finished:
+            if cut_after and run.produced - first_index >= cut_after and not run.finished:
                 self.engine.control.cut_after = 0
                 raise ConnectionResetError
             if ready:
-                sent = run.produced
+                next_index = run.produced
                 yield b"".join(self._event(run, index, direct) for index in ready)
-            if run.finished and sent >= run.output_tokens:
+            if run.finished and next_index >= run.output_tokens:
                 break
             run.wake.wait(1.0)
         if not run.cancelled:
@@ -345,7 +346,7 @@
 
 
 def _load(engine: Engine) -> int:
-    """Return the requests in the engine, as it reports them."""
+    """Return the number of requests in the engine, as its load report states it."""
     return len(engine.queue) + len(engine.decoding) + int(engine._current is not None)
 
 
@@ -369,7 +370,7 @@
 
 
 def serve(app: Any, port: int) -> None:  # noqa: ANN401
-    """Serve a WSGI application on loopback for ever, printing its port."""
+    """Print the port and serve a WSGI application on loopback, without end."""
     sock = eventlet.listen(("127.0.0.1", port), backlog=1024)
     click.echo(f"listening {sock.getsockname()[1]}")
     eventlet.wsgi.server(
@@ -378,11 +379,13 @@
 
 
 @click.command()
-@click.option("--port", default=0, help="Port on loopback; 0 takes a free one.")
-@click.option("--prefill-rate", default=4000.0, help="Prompt tokens a second.")
-@click.option("--gap-ms", default=20.0, help="Time between two tokens.")
+@click.option("--port", default=0, help="Port on loopback; 0 picks a free one.")
+@click.option("--prefill-rate", default=4000.0, help="Prompt tokens prefilled per second.")
+@click.option("--gap-ms", default=20.0, help="Milliseconds between two tokens.")
 @click.option("--batch", default=8, help="Requests decoded at once.")
-@click.option("--cache-blocks", default=4096, help="Blocks in the prefix cache.")
+@click.option(
+    "--cache-blocks", default=4096, help="Capacity of the prefix cache in blocks."
+)
 def main(
     port: int, prefill_rate: float, gap_ms: float, batch: int, cache_blocks: int
 ) -> None:
--- a/dockreach/standin_platform.py
+++ b/dockreach/standin_platform.py
@@ -1,7 +1,8 @@
-"""A small stand-in of the platform: configuration service and VM list.
+"""A stand-in for the platform: its configuration service and its VM list.
 
-It serves the two published calls, with a lag on the VM list, counts them, and can be
-told to be down, stale or wrong. Tests publish through ``/admin``; daemons only read.
+It serves the two published calls and counts them. The VM list lags behind what was
+published, and the whole stand-in can be set to be down or to return stale or invalid
+data. Tests publish through ``/admin``; daemons only read.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 
 class Admin(msgspec.Struct):
-    """What a test tells the platform; a missing field is left as it is."""
+    """A change of the platform's state; a missing field stays as it is."""
 
     config: str | None = None
     revision: int | None = None
@@ -85,9 +86,9 @@
     def _watch(self, environ: dict[str, Any], start: Callable[..., Any]) -> Iterator[bytes]:
         query = parse_qs(environ.get("QUERY_STRING", ""))
         after = int(query.get("after", ["0"])[0])
-        until = time.monotonic() + float(query.get("wait", ["0"])[0])
+        deadline = time.monotonic() + float(query.get("wait", ["0"])[0])
         while self.revision <= after and self.mode == "up":
-            if time.monotonic() >= until:
+            if time.monotonic() >= deadline:
                 start("304 Not Modified", [("Content-Length", "0")])
                 return iter(())
             _green.sleep(POLL_S)
@@ -97,8 +98,12 @@
 
 
 @click.command()
-@click.option("--port", default=0, help="Port on loopback; 0 takes a free one.")
-@click.option("--lag-ms", default=200.0, help="Lag of the VM list.")
+@click.option("--port", default=0, help="Port on loopback; 0 picks a free one.")
+@click.option(
+    "--lag-ms",
+    default=200.0,
+    help="Delay until a published VM list is visible, in milliseconds.",
+)
 def main(port: int, lag_ms: float) -> None:
     """Run the platform stand-in."""
     serve(PlatformApp(lag_ms / 1000), port)
--- a/dockreach/standin_service.py
+++ b/dockreach/standin_service.py
@@ -1,4 +1,4 @@
-"""A small stand-in of a plain service's worker; it logs each call that it ran."""
+"""A stand-in for a worker of a plain service, which logs each request that it ran."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ServiceApp:
-    """WSGI application of one worker: any path answers with what was asked."""
+    """WSGI application of one worker: every path returns a description of the request."""
 
     def __init__(self, delay_s: float) -> None:
         self.delay_s = delay_s
@@ -29,18 +29,18 @@
         rid = environ.get("HTTP_X_REQUEST_ID", "")
         self.log[rid] = self.log.get(rid, 0) + 1
         _green.sleep(self.delay_s)
-        answer = {
+        response = {
             "method": environ["REQUEST_METHOD"],
             "path": path,
             "query": environ.get("QUERY_STRING", ""),
             "body": body.decode(errors="replace"),
         }
-        return _json(start, answer)
+        return _json(start, response)
 
 
 @click.command()
-@click.option("--port", default=0, help="Port on loopback; 0 takes a free one.")
-@click.option("--delay-ms", default=20.0, help="Time that each call takes.")
+@click.option("--port", default=0, help="Port on loopback; 0 picks a free one.")
+@click.option("--delay-ms", default=20.0, help="Milliseconds that each request takes.")
 def main(port: int, delay_ms: float) -> None:
     """Run one worker of a plain service."""
     serve(ServiceApp(delay_ms / 1000), port)
--- a/examples/call.py
+++ b/examples/call.py
@@ -1,4 +1,4 @@
-"""Sends one request to an entry and acts on the verdict, as a caller should."""
+"""Sends one request to an entry and retries it only if the entry allows that."""
 
 from __future__ import annotations
 
@@ -12,12 +12,13 @@
 
 
 def complete(url: str, key: str, prompt: str) -> bytes:
-    """Return a whole answer.
+    """Send a completion request and return the response body.
 
-    The idempotency key is the same for each try, so that a retry never runs twice.
+    All attempts have the same idempotency key, so that a retry never runs a request twice.
 
     Raises:
-        RuntimeError: No answer came, or a retry could not help.
+        RuntimeError: The entry refused all attempts, or refused one without
+            ``Retry-After``: a retry would not help.
     """
     headers = {
         "Authorization": f"Bearer {key}",
@@ -26,16 +27,16 @@
     }
     body = {"model": "m", "prompt": prompt, "max_tokens": 64}
     for _ in range(MAX_TRIES):
-        answer = urllib3.request(
+        response = urllib3.request(
             "POST", f"{url}/v1/completions", json=body, headers=headers
         )
-        if answer.status == 200:
-            return answer.data
-        retry_after = answer.headers.get("Retry-After")
+        if response.status == 200:
+            return response.data
+        retry_after = response.headers.get("Retry-After")
         if retry_after is None:
-            raise RuntimeError(answer.data.decode())
+            raise RuntimeError(response.data.decode())
         time.sleep(float(retry_after))
-    raise RuntimeError("no answer")
+    raise RuntimeError("the entry refused all attempts")
 
 
 if __name__ == "__main__":
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests; the folder mirrors the package."""
+"""Tests, in folders that mirror the package."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Passes over the tests of KNOWN-RED.txt, which fail for a known fault, and prints them."""
+"""Marks tests that fail for a known fault, listed in KNOWN-RED.txt, and prints them."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
 MOST = 3
-"""Tests that may be listed at a time."""
+"""Maximum number of tests that may be listed at once."""
 
 
 class _KnownRed(NamedTuple):
-    """One line: the test's id, why it fails, and the issue that mends it."""
+    """One line: the test's id, the cause of its failure, and the issue that tracks it."""
 
     test: str
     cause: str
@@ -21,10 +21,10 @@
 
 
 def _read() -> list[_KnownRed]:
-    """Read the list.
+    """Read the list of known failures.
 
     Raises:
-        pytest.UsageError: A line has another form, or there are too many.
+        pytest.UsageError: A line is malformed, or too many tests are listed.
     """
     if not KNOWN_RED.exists():
         return []
@@ -40,7 +40,7 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Expect the listed tests to fail."""
+    """Mark the listed tests as expected failures."""
     known = {red.test: red for red in _read()}
     for item in items:
         red = known.get(item.nodeid) or known.get(item.nodeid.partition("[")[0])
@@ -50,9 +50,13 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print the listed tests, and which of them pass now."""
+    """Print the listed tests, and whether they pass now."""
     passing = {report.nodeid for report in terminalreporter.stats.get("xpassed", [])}
     for red in _read():
         names = {name for name in passing if name.partition("[")[0] == red.test}
-        note = "passes now, take it off" if names or red.test in passing else "fails"
+        note = (
+            "passes now, remove it from the list"
+            if names or red.test in passing
+            else "fails"
+        )
         terminalreporter.write_line(f"known red, {note}: {red.test}: {red.cause}")
--- a/tests/cores.py
+++ b/tests/cores.py
@@ -1,4 +1,4 @@
-"""Cores of entries and agents, joined without sockets, for tests of decisions."""
+"""Cores of entries and agents, connected without sockets, for tests of decisions."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def declared(endpoints: int, entries: int = 1, extra: str = "") -> Declarations:
-    """Return declarations of one pool with some endpoints."""
+    """Return declarations of one pool with a number of endpoints."""
     names = ", ".join(f"n{index}" for index in range(entries))
     parts = [f"[fleet]\nrevision=1\nentries={names}\n[pool p]"]
     parts += [f"[endpoint e{index}]\npool=p\nhall=h" for index in range(endpoints)]
@@ -68,7 +68,7 @@
 
 @dataclass
 class Net:
-    """Entries and agents that exchange messages in rounds; links can be cut."""
+    """Entries and agents that exchange messages in rounds over links that can be cut."""
 
     entries: dict[str, EntryWorld]
     agents: dict[str, AgentWorld]
@@ -82,11 +82,11 @@
     incarnation: int = 1
 
     def put(self, node: str, message: object, peer: str = "") -> None:
-        """Give a node a message."""
+        """Put a message into a node's inbox."""
         self.inboxes.setdefault(node, []).append((peer, message))
 
     def step(self, seconds: float = 0.005) -> None:
-        """Tick every node once, then deliver what they said."""
+        """Tick every node once, then deliver the messages that they sent."""
         self.now += seconds
         sent: list[tuple[str, str, AnyMessage]] = []
         for name, agent_world in self.agents.items():
@@ -106,12 +106,12 @@
                 self.put(target, message, source)
 
     def steps(self, count: int, seconds: float = 0.005) -> None:
-        """Step several times."""
+        """Run several steps."""
         for _ in range(count):
             self.step(seconds)
 
     def link_all(self) -> None:
-        """Bring up all links."""
+        """Establish all links."""
         for entry_name in self.entries:
             for agent_name in self.agents:
                 self.link(entry_name, agent_name)
@@ -120,14 +120,14 @@
                     self.put(entry_name, EntryUp(1, 1000.0), other)
 
     def link(self, entry_name: str, agent_name: str) -> None:
-        """Bring up a link between an entry and an agent."""
+        """Establish a link between an entry and an agent."""
         self.cut.discard(frozenset((entry_name, agent_name)))
         up = AgentUp("h", self.agents[agent_name].incarnation, 1000.0)
         self.put(entry_name, up, agent_name)
         self.put(agent_name, PeerUp("entry", 1, 1000.0), entry_name)
 
     def unlink(self, entry_name: str, agent_name: str) -> None:
-        """Cut a link; both ends notice, and what was on its way is lost."""
+        """Cut a link: both ends are notified, and messages in transit are lost."""
         self.cut.add(frozenset((entry_name, agent_name)))
         self._lose(entry_name, agent_name)
         self._lose(agent_name, entry_name)
@@ -135,7 +135,7 @@
         self.put(agent_name, PeerDown(), entry_name)
 
     def restart_agent(self, name: str) -> None:
-        """Replace an agent by a new incarnation that knows nothing."""
+        """Replace an agent by a new incarnation without any state."""
         self.incarnation += 1
         for entry_name in self.entries:
             self.put(entry_name, AgentDown(), name)
@@ -145,23 +145,23 @@
             self.link(entry_name, name)
 
     def request(self, rid: str, entry_name: str = "n0") -> RequestRow:
-        """Return a request, running or ended; the latest try of it."""
+        """Return the row of a running or ended request; of several attempts, the latest."""
         world = self.entries[entry_name]
         if rid in world.requests:
             return world.requests[rid]
         return next(row for row in reversed(world.ended) if row.rid == rid)
 
     def request_phase(self, rid: str) -> Phase | None:
-        """Return where a request stands; ``None`` before it was admitted."""
+        """Return the phase of a running request; ``None`` if it is unknown."""
         row = self.entries["n0"].requests.get(rid)
         return row.phase if row else None
 
     def runs_of(self, rid: str) -> int:
-        """Return how often the engines were given a request."""
+        """Return how many times a request was dispatched to engines."""
         return sum(1 for _, seen in self.dispatched if seen == rid)
 
     def commits(self, rid: str) -> list[Commit]:
-        """Return the commits of a request that entries sent."""
+        """Return the commits that entries sent for a request."""
         return [
             message
             for _, _, message in self.trace
@@ -172,8 +172,8 @@
         return self.inboxes.pop(name, [])
 
     def _lose(self, node: str, peer: str) -> None:
-        kept = [item for item in self.inboxes.get(node, []) if item[0] != peer]
-        self.inboxes[node] = kept
+        remaining = [item for item in self.inboxes.get(node, []) if item[0] != peer]
+        self.inboxes[node] = remaining
 
     def _act(self, name: str, actions: list[EngineAction]) -> None:
         for action in actions:
@@ -184,7 +184,7 @@
 
 
 def new_agent(name: str, incarnation: int, now: float) -> AgentWorld:
-    """Return the tables of an agent that has been told what is declared."""
+    """Return the tables of an agent that has received the declarations."""
     return AgentWorld(
         name,
         incarnation,
@@ -197,7 +197,7 @@
 
 
 def new_net(endpoints: int = 2, entries: int = 1, extra: str = "") -> Net:
-    """Return a linked net whose owners of keys are old enough to be sure."""
+    """Return a linked network in which the key owners have rebuilt their claims."""
     declarations = declared(endpoints, entries, extra)
     entry_worlds = {}
     for index in range(entries):
@@ -206,12 +206,12 @@
         world = EntryWorld(name, 1, declarations, limits, EntryPolicy())
         entry_worlds[name] = world
     agents = {f"e{index}": new_agent(f"e{index}", 1, 0.0) for index in range(endpoints)}
-    net = Net(entry_worlds, agents)
+    network = Net(entry_worlds, agents)
     for name in entry_worlds:
-        net.put(name, Configured(declarations))
-    net.link_all()
-    net.steps(2)
+        network.put(name, Configured(declarations))
+    network.link_all()
+    network.steps(2)
     for world_of_agent in agents.values():
         begin_rebuild(world_of_agent)
-    net.steps(4)
-    return net
+    network.steps(4)
+    return network
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,4 +1,4 @@
-"""Small fleets of real processes, and callers that run beside a test."""
+"""Small fleets of real processes, and callers that run in threads beside a test."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def fleet(engines: int = 2, services: int = 0, **changes: object) -> FleetSpec:
-    """Return a fleet of like engines in one pool."""
+    """Return a fleet of identical engines in one pool."""
     endpoints = [EndpointSpec(f"engine{index}", "models") for index in range(engines)]
     endpoints += [
         EndpointSpec(f"worker{index}", "records", kind="service")
@@ -39,7 +39,7 @@
 
 
 class Caller:
-    """One request in a thread of its own."""
+    """One request, sent from a thread of its own."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
     def _run(self) -> None:
         pool = urllib3.PoolManager(retries=False)
         try:
-            answer = pool.request(
+            response = pool.request(
                 "POST",
                 f"{self._url}/v1/completions",
                 body=json.dumps(self._body),
@@ -82,23 +82,23 @@
                 preload_content=False,
                 timeout=urllib3.Timeout(connect=5.0, read=60.0),
             )
-            self.headers = dict(answer.headers)
-            self.status = answer.status
-            for part in answer.stream(4096):
-                self.data += part
+            self.headers = dict(response.headers)
+            self.status = response.status
+            for chunk in response.stream(4096):
+                self.data += chunk
         except (urllib3.exceptions.HTTPError, OSError) as exc:
             self.error = type(exc).__name__
         self.ended = True
 
     def started(self) -> Caller:
-        """Wait until the first bytes of the answer have come."""
+        """Wait until the first bytes of the response have arrived."""
         wait_until(lambda: self.data or self.ended, "the first bytes")
         return self
 
     def end(self) -> Caller:
-        """Wait for the end."""
+        """Wait until the response has ended."""
         self._thread.join(60.0)
-        assert self.ended, "the caller was left without an answer"
+        assert self.ended, "the response did not end in time"
         return self
 
     @property
@@ -113,7 +113,7 @@
 
     @property
     def whole(self) -> bool:
-        """Whether every token came once and in order, and the end."""
+        """Whether every token arrived once and in order, followed by the end marker."""
         events = [part for part in self.data.split(b"\n\n") if part]
         if self.status != 200 or self.error or len(events) != self._tokens + 1:
             return False
@@ -124,17 +124,17 @@
 
 
 def running(deployment: Deployment, least: int = 1) -> str:
-    """Wait until some engine runs something; return its name."""
+    """Wait until an engine generates enough responses at once; return its name."""
 
-    def busy() -> list[str]:
+    def busy_engines() -> list[str]:
         return [
             name
             for name, log in deployment.run_log().items()
             if sum(_open(row) for row in log.values()) >= least
         ]
 
-    wait_until(busy, "a run")
-    return busy()[0]
+    wait_until(busy_engines, "a run")
+    return busy_engines()[0]
 
 
 def _open(row: object) -> bool:
@@ -142,6 +142,6 @@
 
 
 def deployed(spec: FleetSpec) -> Iterator[Deployment]:
-    """Run a fleet for the length of a fixture."""
+    """Run a fleet for the duration of a fixture."""
     with Deployment(spec) as deployment:
         yield deployment
--- a/tests/test_ablation.py
+++ b/tests/test_ablation.py
@@ -1,4 +1,4 @@
-"""Switching mechanisms off: each switch still fits the code, and the table is right."""
+"""Ablation and mutants: every edit still matches the code, and the table is right."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 @pytest.mark.parametrize("edit", [*MECHANISMS, *MUTANTS], ids=lambda edit: edit.rule)
-def test_what_is_switched_off_is_there_once_and_changes(edit: Edit) -> None:
+def test_edited_text_occurs_once_and_is_changed(edit: Edit) -> None:
     text = (ROOT / "dockreach" / edit.module).read_text()
     assert text.count(edit.before) == 1
     assert edit.before != edit.after
 
 
-def test_rules_that_a_day_broke_are_read_from_its_line() -> None:
+def test_value_and_broken_rules_are_parsed_from_the_line_of_a_day() -> None:
     line = "scale-2  22/21  0.00  -0.125  0.671  0.429  0.021  LOST, QUOTA; nines 0.36"
     assert read_day(line, "scale-2") == (-0.125, "LOST QUOTA")
     kept = "scale-2  22/21  1.00  0.439  0.671  0.429  0.021  nines 0.36; prices 0.059"
