--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -168,10 +168,10 @@
             text=True,
             check=False,
         )
-        found = read_day(done.stdout, play.day)
-        if found is None:
+        parsed = read_day(done.stdout, play.day)
+        if parsed is None:
             raise click.ClickException(f"{play}: {done.stdout[-500:]}{done.stderr[-500:]}")
-        return Played(play, *found)
+        return Played(play, *parsed)
 
     def copy(self, mechanism: str) -> Path:
         """Return the directory of the copy without a mechanism."""
@@ -190,11 +190,11 @@
 
 def read_day(printed: str, day: str) -> tuple[float, str] | None:
     """Return a day's value and the rules it broke; ``None`` if the output lacks them."""
-    found = re.search(rf"^{day} +\S+ +\S+ +(-?[\d.]+) (.*)$", printed, re.M)
-    if found is None:
+    match = re.search(rf"^{day} +\S+ +\S+ +(-?[\d.]+) (.*)$", printed, re.M)
+    if match is None:
         return None
-    rules = sorted(set(re.findall(r"\b[A-Z]{4,}\b", found[2])))
-    return float(found[1]), " ".join(rules)
+    rules = sorted(set(re.findall(r"\b[A-Z]{4,}\b", match[2])))
+    return float(match[1]), " ".join(rules)
 
 
 def table(played: Iterable[Played]) -> str:
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -405,7 +405,7 @@
 
 
 @click.command()
-@click.option("--keep", is_flag=True, help="Write the figures under docs/results.")
+@click.option("--keep", is_flag=True, help="Write the results under docs/results.")
 @click.option("--core-only", is_flag=True, help="Leave out the sweeps over processes.")
 def main(keep: bool, core_only: bool) -> None:
     """Measure all costs and print the fitted lines."""
--- a/dockreach/launching.py
+++ b/dockreach/launching.py
@@ -137,13 +137,13 @@
 
     def events(self) -> list[dict[str, Any]]:
         """Return the log events written so far."""
-        found = []
+        rows = []
         for line in self.log.read_text(errors="replace").splitlines():
             with contextlib.suppress(ValueError):
                 row = json.loads(line)
                 if isinstance(row, dict):
-                    found.append(row)
-        return found
+                    rows.append(row)
+        return rows
 
 
 class Deployment:
--- a/dockreach/profiles.py
+++ b/dockreach/profiles.py
@@ -25,10 +25,10 @@
 
 
 def _engines(count: int, halls: int, pool: str) -> list[EndpointSpec]:
-    found = []
+    engines = []
     for index in range(count):
         slots, prefill, gap = _SPEEDS[index % len(_SPEEDS)]
-        found.append(
+        engines.append(
             EndpointSpec(
                 name=f"engine{index + 1}",
                 pool=pool,
@@ -39,7 +39,7 @@
                 cache_blocks=512,
             )
         )
-    return found
+    return engines
 
 
 def _workers(name: str, count: int, halls: int) -> list[EndpointSpec]:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -28,15 +28,15 @@
     """
     if not KNOWN_RED.exists():
         return []
-    found = []
+    known = []
     for line in KNOWN_RED.read_text().splitlines():
         parts = [part.strip() for part in line.split("|")]
         if len(parts) != len(_KnownRed._fields) or not all(parts):
             raise pytest.UsageError(f"{KNOWN_RED.name}: not 'test | cause | issue': {line}")
-        found.append(_KnownRed(*parts))
-    if len(found) > MOST:
+        known.append(_KnownRed(*parts))
+    if len(known) > MOST:
         raise pytest.UsageError(f"{KNOWN_RED.name}: more than {MOST} tests")
-    return found
+    return known
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
--- a/tests/test_ablation.py
+++ b/tests/test_ablation.py
@@ -21,9 +21,9 @@
 def test_value_and_broken_rules_are_parsed_from_the_line_of_a_day() -> None:
     line = "scale-2  22/21  0.00  -0.125  0.671  0.429  0.021  LOST, QUOTA; nines 0.36"
     assert read_day(line, "scale-2") == (-0.125, "LOST QUOTA")
-    kept = "scale-2  22/21  1.00  0.439  0.671  0.429  0.021  nines 0.36; prices 0.059"
-    assert read_day(kept, "scale-2") == (0.439, "")
-    assert read_day(kept, "scale-1") is None
+    unbroken = "scale-2  22/21  1.00  0.439  0.671  0.429  0.021  nines 0.36; prices 0.059"
+    assert read_day(unbroken, "scale-2") == (0.439, "")
+    assert read_day(unbroken, "scale-1") is None
 
 
 def test_differences_are_paired_by_site_day_and_seed() -> None:
