--- a/examples/call.py
+++ b/examples/call.py
@@ -8,7 +8,7 @@
 
 import urllib3
 
-MAX_TRIES = 5
+MAX_ATTEMPTS = 5
 
 
 def complete(url: str, key: str, prompt: str) -> bytes:
@@ -26,7 +26,7 @@
         "Dockreach-Deadline-Ms": "20000",
     }
     body = {"model": "m", "prompt": prompt, "max_tokens": 64}
-    for _ in range(MAX_TRIES):
+    for _ in range(MAX_ATTEMPTS):
         response = urllib3.request(
             "POST", f"{url}/v1/completions", json=body, headers=headers
         )
