--- a/benchmarks/replays/fleet.py
+++ b/benchmarks/replays/fleet.py
@@ -59,7 +59,7 @@
     """Counts of requests by their outcome, and of messages between entries.
 
     Attributes:
-        free_at_refusal: Sum, over all refusals, of the slots that were free at the time.
+        free_at_refusal: Slots that were free at each refusal, summed up.
     """
 
     asked: Counter[str] = field(default_factory=Counter)
--- a/dockreach/standin_engine.py
+++ b/dockreach/standin_engine.py
@@ -363,6 +363,7 @@
     status: str = "200 OK",
     headers: list[tuple[str, str]] | None = None,
 ) -> Iterator[bytes]:
+    """Start a JSON response and return its body."""
     body = msgspec.json.encode(value)
     common = [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
     start(status, common + (headers or []))
