--- a/benchmarks/replays/patterns.py
+++ b/benchmarks/replays/patterns.py
@@ -91,7 +91,7 @@
     """The load and the changes of engines in one replay.
 
     Attributes:
-        swing: Amplitude of a sine wave in the load, as a fraction of the mean load.
+        swing: Amplitude of a sine wave in the load, as a fraction of its mean.
         clump: Mean number of requests that arrive together.
         speeds: Time factors of the engines, assigned in rotation.
     """
