--- a/dockreach/entry_node.py
+++ b/dockreach/entry_node.py
@@ -307,7 +307,7 @@
             text = f"Configurations refused: {name}"
             value = getattr(self.config, name)
             yield Sample(f"dockreach_config_{name}_total", text, value, {})
-        text = "Current configuration revision"
+        text = "Revision in force"
         revision = self.config.revision
         yield Sample("dockreach_config_revision", text, revision, {}, counter=False)
 
