--- a/dockreach/_log_output.py
+++ b/dockreach/_log_output.py
@@ -6,12 +6,12 @@
 import os
 from collections import deque
 
-MOST_PENDING = 2000
+MAX_PENDING_LINES = 2000
 """Maximum lines buffered while the reader is slow, about half a megabyte; further lines are
 dropped and counted."""
 
 
-class BoundedHandler(logging.Handler):
+class NonBlockingHandler(logging.Handler):
     """Writes log lines to a file descriptor in non-blocking mode.
 
     Args:
@@ -31,16 +31,16 @@
 
     def emit(self, record: logging.LogRecord) -> None:
         """Write a line, or buffer it while the descriptor would block."""
-        if len(self._pending) >= MOST_PENDING:
+        if len(self._pending) >= MAX_PENDING_LINES:
             self.dropped += 1
             return
         if self.dropped and not self._pending:
             record.dropped_lines = self.dropped
             self.dropped = 0
         self._pending.append(self.format(record).encode() + b"\n")
-        self.drain()
+        self.write_pending()
 
-    def drain(self) -> None:
+    def write_pending(self) -> None:
         """Write buffered lines until the descriptor would block."""
         while self._pending:
             line = self._pending.popleft()
--- a/dockreach/_responses.py
+++ b/dockreach/_responses.py
@@ -9,7 +9,7 @@
 
 from .verdict import Refusal, http_status
 
-RID_HEADER = "Dockreach-Request-Id"
+REQUEST_ID_HEADER = "Dockreach-Request-Id"
 VERDICT_HEADER = "Dockreach-Verdict"
 TICKET_HEADER = "Dockreach-Ticket"
 JSON_TYPE = "application/json"
@@ -57,7 +57,7 @@
         (VERDICT_HEADER, refusal.verdict.value),
     ]
     if rid:
-        headers.append((RID_HEADER, rid))
+        headers.append((REQUEST_ID_HEADER, rid))
     if ticket:
         headers.append((TICKET_HEADER, ticket))
     if refusal.retry_after_s is not None:
--- a/dockreach/agent_node.py
+++ b/dockreach/agent_node.py
@@ -30,7 +30,7 @@
 from .metrics import Metrics, Sample, counter_samples, process_samples
 from .node import Node
 from .orders import OrderBook
-from .pages import Pages
+from .pages import PageRouter
 from .prefix import PrefixIndex
 from .running import backlog_bytes
 from .settings import Settings
@@ -73,7 +73,7 @@
         self._cache_event = 0
         self._orders = OrderBook(self.name, self.incarnation)
         self._metrics = Metrics(settings.daemon.name)
-        self.pages = Pages(self.is_ready, self._metrics_page)
+        self.pages = PageRouter(self.is_ready, self._metrics_page)
         limits = settings.limits
         policy = AgentPolicy(queue_limit=limits.queue, retention_s=limits.retention_s)
         model = EngineModel(1, 1000.0, DEFAULT_GAP_S, DEFAULT_GAP_S)
@@ -271,7 +271,7 @@
                 log(event, version=order.version, fence=str(order.fence))
 
     def _metrics_page(self) -> tuple[bytes, str]:
-        return self._metrics.page(self._samples())
+        return self._metrics.render_page(self._samples())
 
     def _samples(self) -> Iterator[Sample]:
         yield from process_samples(self.started)
@@ -286,7 +286,7 @@
             ("runs", float(len(model.runs))),
         ):
             text = f"Now: {name.replace('_', ' ')}"
-            yield Sample(f"dockreach_agent_{name}", text, value, {}, counter=False)
+            yield Sample(f"dockreach_agent_{name}", text, value, {}, is_counter=False)
 
     def _report_suspect(self, now: float) -> None:
         suspect = self.world.model.suspect(now)
--- a/dockreach/burn.py
+++ b/dockreach/burn.py
@@ -53,13 +53,13 @@
     """
     groups: dict[tuple[str, str, float], list[Row]] = {}
     for row in rows:
-        key = (str(row["tier"]), str(row["organisation"]), _number(row["window"]))
+        key = (str(row["tier"]), str(row["organisation"]), _to_float(row["window"]))
         groups.setdefault(key, []).append(row)
-    covered_s = _uptimes(groups)
+    covered_s = _covered_by_entry(groups)
     burn = []
     for (tier, organisation, window), members in sorted(groups.items()):
-        good = sum(int(_number(row["good"])) for row in members)
-        total = sum(int(_number(row["total"])) for row in members)
+        good = sum(int(_to_float(row["good"])) for row in members)
+        total = sum(int(_to_float(row["total"])) for row in members)
         objective = objectives.get(tier, 0.95)
         rate = (1 - good / total) / (1 - objective) if total else 0.0
         counted_s = sum(min(window, seconds) for seconds in covered_s.values())
@@ -72,22 +72,22 @@
     return burn
 
 
-def _uptimes(groups: dict[tuple[str, str, float], list[Row]]) -> dict[str, float]:
+def _covered_by_entry(groups: dict[tuple[str, str, float], list[Row]]) -> dict[str, float]:
     """Return the longest time, in seconds, for which each entry reports counts."""
     longest: dict[str, float] = {}
     for members in groups.values():
         for row in members:
             name = str(row["entry"])
-            longest[name] = max(longest.get(name, 0.0), _number(row["covered"]))
+            longest[name] = max(longest.get(name, 0.0), _to_float(row["covered"]))
     return longest
 
 
-def _number(value: object) -> float:
+def _to_float(value: object) -> float:
     """Return a value as a number; 0 if it is none."""
     return float(value) if isinstance(value, int | float) else 0.0
 
 
-def page(rows: Sequence[BurnRow]) -> str:
+def render_html(rows: Sequence[BurnRow]) -> str:
     """Return the report as an HTML page with a bar for each burn rate."""
     parts = [
         "<!doctype html><meta charset=utf-8><title>Service-level burn</title>",
@@ -100,11 +100,11 @@
         "<table><tr><th>tier<th>organisation<th>window<th>objective<th>good<th>total"
         "<th>burn rate<th><th>budget left<th>covered",
     ]
-    parts += [_page_row(row) for row in rows]
+    parts += [_html_row(row) for row in rows]
     return "\n".join([*parts, "</table>\n"])
 
 
-def _page_row(row: BurnRow) -> str:
+def _html_row(row: BurnRow) -> str:
     width = min(300, round(60 * row.burn_rate))
     colour = "#c33" if row.burn_rate > 1 else "#393"
     bar = (
@@ -114,13 +114,13 @@
     gap = "" if row.covered > 0.99 else ' class="gap"'
     return (
         f"<tr><td>{html.escape(row.tier)}<td>{html.escape(row.organisation)}"
-        f"<td>{window_name(row.window_s)}<td>{row.objective:.1%}<td>{row.good}"
+        f"<td>{format_window(row.window_s)}<td>{row.objective:.1%}<td>{row.good}"
         f"<td>{row.total}<td>{row.burn_rate:.2f}<td>{bar}<td>{row.budget_left:.0%}"
         f"<td{gap}>{row.covered:.0%}"
     )
 
 
-def window_name(seconds: float) -> str:
+def format_window(seconds: float) -> str:
     """Return the length of a window in minutes or hours, with its unit."""
     if seconds < 3600:
         return f"{seconds / 60:.0f} min"
--- a/dockreach/cli_exit.py
+++ b/dockreach/cli_exit.py
@@ -14,7 +14,7 @@
 """The entry is unreachable."""
 
 
-def fail(problem: str, code: int = EXIT_REFUSED) -> NoReturn:
+def exit_with_error(problem: str, code: int = EXIT_REFUSED) -> NoReturn:
     """Print a problem to standard error and exit with a code."""
     click.echo(f"dockreach: {problem}", err=True)
     sys.exit(code)
--- a/dockreach/cli_worth.py
+++ b/dockreach/cli_worth.py
@@ -14,10 +14,10 @@
 from rich.console import Console
 from rich.table import Table
 
-from .cli_exit import EXIT_REFUSED, fail
+from .cli_exit import EXIT_REFUSED, exit_with_error
 from .errors import SettingsError
-from .served_reading import read_files, read_prices
-from .served_worth import Counted, Prices, RouteWorth, by_route, total
+from .service_worth import AttemptCounts, Prices, RouteWorth, total_worth, worth_by_route
+from .service_worth_input import read_attempt_counts, read_prices
 
 _BAR_PX = 400
 _COLOURS = {
@@ -53,37 +53,37 @@
     try:
         prices = read_prices(prices_path) if prices_path else Prices()
     except SettingsError as exc:
-        fail(str(exc))
-    counted = read_files(files)
-    rows = by_route(counted)
+        exit_with_error(str(exc))
+    counted = read_attempt_counts(files)
+    rows = worth_by_route(counted)
     if html_path is not None:
-        html_path.write_text(_page(rows, prices, counted))
+        html_path.write_text(_render_html(rows, prices, counted))
     if as_json:
-        click.echo(msgspec.json.encode(_as_json(rows, prices, counted)).decode())
+        click.echo(msgspec.json.encode(_report_fields(rows, prices, counted)).decode())
     else:
         Console().print(_table(rows, prices))
-        click.echo(f"worth of all: {total(rows, prices):.4f}")
-    _tell_gaps(counted)
+        click.echo(f"worth of all: {total_worth(rows, prices):.4f}")
+    _print_problems(counted)
     if not rows:
         sys.exit(EXIT_REFUSED)
 
 
-def _tell_gaps(counted: Counted) -> None:
+def _print_problems(counted: AttemptCounts) -> None:
     for problem in counted.problems:
         click.echo(f"dockreach: {problem}", err=True)
     if counted.is_partial:
         click.echo(f"dockreach: partial: {counted.left_out} lines left out", err=True)
 
 
-def _as_json(
-    rows: Sequence[RouteWorth], prices: Prices, counted: Counted
+def _report_fields(
+    rows: Sequence[RouteWorth], prices: Prices, counted: AttemptCounts
 ) -> dict[str, Any]:
     routes = [
-        {**asdict(row), "worth": row.worth(prices), "lost": row.lost(prices)}
+        {**asdict(row), "worth": row.worth(prices), "lost": row.losses(prices)}
         for row in rows
     ]
     return {
-        "worth": total(rows, prices),
+        "worth": total_worth(rows, prices),
         "routes": routes,
         "partial": counted.is_partial,
         "left_out": counted.left_out,
@@ -106,27 +106,27 @@
     return table
 
 
-def _page(rows: Sequence[RouteWorth], prices: Prices, counted: Counted) -> str:
+def _render_html(rows: Sequence[RouteWorth], prices: Prices, counted: AttemptCounts) -> str:
     """Return the report as an HTML page with a bar that shows each route's losses."""
     parts = [
         "<!doctype html><meta charset=utf-8><title>Served worth</title>",
         "<style>body{font-family:sans-serif}td,th{padding:.2em .8em}</style>",
         "<h1>Served worth</h1>",
-        f"<p>{total(rows, prices):.1%} of what callers were owed.",
+        f"<p>{total_worth(rows, prices):.1%} of what callers were owed.",
     ]
     if counted.is_partial:
         parts.append(f"<p><b>Partial:</b> {counted.left_out} log lines are missing.")
         parts += [f"<p>{html.escape(problem)}" for problem in counted.problems]
     legend = [f'<b style="color:{code}">{name}</b>' for name, code in _COLOURS.items()]
     parts.append(f"<p>Losses: {', '.join(legend)}.<table>")
-    parts += [_page_row(row, prices) for row in rows]
+    parts += [_html_row(row, prices) for row in rows]
     return "\n".join([*parts, "</table>\n"])
 
 
-def _page_row(row: RouteWorth, prices: Prices) -> str:
+def _html_row(row: RouteWorth, prices: Prices) -> str:
     bars = []
     start = 0.0
-    for name, fraction in row.lost(prices).items():
+    for name, fraction in row.losses(prices).items():
         width = fraction * _BAR_PX
         bars.append(
             f'<rect x="{start:.1f}" width="{width:.1f}" height="14" '
--- a/dockreach/clock.py
+++ b/dockreach/clock.py
@@ -16,7 +16,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-def steer_timers() -> None:
+def patch_hub_clock() -> None:
     """Make the eventlet hub of this thread use this clock for its timers.
 
     Timers that expired during a suspension then fire as soon as the machine resumes.
--- a/dockreach/daemon.py
+++ b/dockreach/daemon.py
@@ -21,7 +21,7 @@
 from .callers import SOCKET_KEY  # noqa: E402
 from .entry_node import EntryNode  # noqa: E402
 from .errors import SettingsError  # noqa: E402
-from .events import Event, log, set_up  # noqa: E402
+from .events import Event, configure_logging, log  # noqa: E402
 from .settings import Settings, load  # noqa: E402
 
 EXIT_SETTINGS = 2
@@ -111,7 +111,7 @@
     if check:
         click.echo(f"{path}: settings are valid")
         return
-    set_up(settings.daemon.name, settings.log.level)
+    configure_logging(settings.daemon.name, settings.log.level)
     run(settings)
 
 
--- a/dockreach/declarations.py
+++ b/dockreach/declarations.py
@@ -22,10 +22,10 @@
 MAX_BODY_BYTES = 1 << 20
 """Maximum size of a declarations file; the platform stores values of up to a megabyte."""
 
-Positive = Annotated[float, Meta(gt=0)]
-Count = Annotated[int, Meta(ge=1)]
-NotNegative = Annotated[int, Meta(ge=0)]
-Sha256 = Annotated[str, Meta(pattern="^[0-9a-f]{64}$")]
+PositiveFloat = Annotated[float, Meta(gt=0)]
+PositiveInt = Annotated[int, Meta(ge=1)]
+NonNegativeInt = Annotated[int, Meta(ge=0)]
+Sha256Hex = Annotated[str, Meta(pattern="^[0-9a-f]{64}$")]
 
 
 class Tier(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -39,10 +39,10 @@
         objective: Target fraction of requests with a complete response in time.
     """
 
-    rank: NotNegative
-    deadline_s: Positive = 30.0
-    first_token_ms: Positive = 410.0
-    between_ms: Positive = 39.0
+    rank: NonNegativeInt
+    deadline_s: PositiveFloat = 30.0
+    first_token_ms: PositiveFloat = 410.0
+    between_ms: PositiveFloat = 39.0
     objective: Annotated[float, Meta(gt=0, lt=1)] = 0.95
 
 
@@ -58,12 +58,12 @@
         concurrency: Limit on concurrent requests; 0 for no limit.
     """
 
-    key_sha256: Sha256
+    key_sha256: Sha256Hex
     tiers: str
-    share: Positive = 1.0
+    share: PositiveFloat = 1.0
     requests_per_s: Annotated[float, Meta(ge=0)] = 0.0
     tokens_per_s: Annotated[float, Meta(ge=0)] = 0.0
-    concurrency: NotNegative = 0
+    concurrency: NonNegativeInt = 0
 
     @property
     def tier_names(self) -> tuple[str, ...]:
@@ -99,10 +99,10 @@
     pool: str
     hall: str
     kind: Annotated[str, Meta(pattern="^(openai|service)$")] = "openai"
-    slots: Count = 8
-    prefill_rate: Positive = 4000.0
-    gap_ms: Positive = 20.0
-    cache_blocks: Count = 4096
+    slots: PositiveInt = 8
+    prefill_rate: PositiveFloat = 4000.0
+    gap_ms: PositiveFloat = 20.0
+    cache_blocks: PositiveInt = 4096
     drained: bool = False
     checks_fence: bool = False
     adapters: str = ""
@@ -118,7 +118,7 @@
     """
 
     pool: str
-    output_tokens: Count = 256
+    output_tokens: PositiveInt = 256
 
 
 class Service(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -133,7 +133,7 @@
 
     pool: str
     repeatable: bool = True
-    cost_tokens: Count = 16
+    cost_tokens: PositiveInt = 16
 
 
 class Fleet(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -147,11 +147,11 @@
         load_s: Time after which the next endpoints may start loading, in seconds.
     """
 
-    revision: Count
+    revision: PositiveInt
     entries: str = ""
     prefill_weight: Annotated[float, Meta(ge=0)] = 1.0
-    loads_at_once: Count = 2
-    load_s: Positive = 30.0
+    loads_at_once: PositiveInt = 2
+    load_s: PositiveFloat = 30.0
 
     @property
     def entry_names(self) -> tuple[str, ...]:
@@ -176,7 +176,7 @@
         return self.fleet.revision
 
     @cached_property
-    def ranks(self) -> dict[int, str]:
+    def tier_names_by_rank(self) -> dict[int, str]:
         """The name of the tier by rank."""
         return {tier.rank: name for name, tier in self.tiers.items()}
 
@@ -195,7 +195,7 @@
 
 _Item = TypeVar("_Item", bound=msgspec.Struct)
 
-_KINDS: dict[str, type[msgspec.Struct]] = {
+_SECTION_TYPES: dict[str, type[msgspec.Struct]] = {
     "fleet": Fleet,
     "tier": Tier,
     "organisation": Organisation,
@@ -250,21 +250,25 @@
     except configparser.Error as exc:
         problem = str(exc).splitlines()[0]
         raise SettingsError(file, "", "", f"not valid INI: {problem}") from exc
-    items: dict[str, dict[str, msgspec.Struct]] = {kind: {} for kind in _KINDS}
+    items: dict[str, dict[str, msgspec.Struct]] = {kind: {} for kind in _SECTION_TYPES}
     for section in parser.sections():
         kind, _, name = section.partition(" ")
-        if kind not in _KINDS:
-            allowed = ", ".join(_KINDS)
+        if kind not in _SECTION_TYPES:
+            allowed = ", ".join(_SECTION_TYPES)
             raise SettingsError(file, section, "", f"unknown kind; allowed: {allowed}")
         if kind != "fleet" and not name:
             raise SettingsError(file, section, "", f"write [{kind} NAME]")
-        items[kind][name] = convert(_KINDS[kind], parser[section], file, section)
+        items[kind][name] = convert_section(
+            _SECTION_TYPES[kind], parser[section], file, section
+        )
     declarations = _assemble(items, file)
     _check_references(declarations, file)
     return declarations
 
 
-def convert(kind: type[_Item], values: Mapping[str, str], file: str, section: str) -> _Item:
+def convert_section(
+    kind: type[_Item], values: Mapping[str, str], file: str, section: str
+) -> _Item:
     """Convert the keys and values of a section to a validated object.
 
     Args:
@@ -276,7 +280,7 @@
     Raises:
         SettingsError: A key is missing, unknown or has an invalid value.
     """
-    raw = {key: _plain(value) for key, value in values.items()}
+    raw = {key: _normalize_boolean(value) for key, value in values.items()}
     try:
         return msgspec.convert(raw, kind, strict=False)
     except msgspec.ValidationError as exc:
@@ -291,7 +295,7 @@
         raise SettingsError(file, section, key, problem) from exc
 
 
-def _plain(value: str) -> str:
+def _normalize_boolean(value: str) -> str:
     """Return ``true`` for ``yes`` and ``false`` for ``no``; other values as they are."""
     return {"yes": "true", "no": "false"}.get(value.lower(), value)
 
--- a/dockreach/direct/entry.py
+++ b/dockreach/direct/entry.py
@@ -86,7 +86,7 @@
         listener: socket.socket | None = None,
     ) -> None:
         self.settings = settings
-        clock.steer_timers()
+        clock.patch_hub_clock()
         self._listener = listener
         self.started_at = clock.now()
         self.revision: ConfigRevision | None = None
--- a/dockreach/direct/entry_pages.py
+++ b/dockreach/direct/entry_pages.py
@@ -82,7 +82,7 @@
         """Return the metrics page."""
         if target != self._entry.settings.metrics_path.encode():
             return NOT_FOUND
-        body, kind = self._entry.ctx.metrics.page(self._samples())
+        body, kind = self._entry.ctx.metrics.render_page(self._samples())
         return RawHead(200, b"OK", [(b"Content-Type", kind.encode())]), body
 
     def _samples(self) -> Iterator[Sample]:
@@ -114,7 +114,7 @@
         }
         for name, value in gauges.items():
             text = name.replace("_", " ").capitalize()
-            yield Sample(f"dockreach_direct_{name}", text, value, {}, counter=False)
+            yield Sample(f"dockreach_direct_{name}", text, value, {}, is_counter=False)
         yield from self._hall_samples()
         yield from self._quarantine_samples()
         yield from self._advertised_samples(now)
@@ -130,7 +130,7 @@
                 "Endpoints that get nothing now, by why",
                 count,
                 {"reason": reason.value},
-                counter=False,
+                is_counter=False,
             )
         rows = self._entry.endpoints.advertising()[:MAX_ADVERTISED_SHOWN]
         limits = {row.id: row.advertised.limit for row in rows}
@@ -155,7 +155,7 @@
                     text,
                     value,
                     {"endpoint": endpoint},
-                    counter=False,
+                    is_counter=False,
                 )
 
     def _quarantine_samples(self) -> Iterator[Sample]:
@@ -166,7 +166,7 @@
                 "Seconds since an engine ended last under a request that is not run",
                 request.crash_age_s,
                 {"fingerprint": request.fingerprint.hex(), **request.source._asdict()},
-                counter=False,
+                is_counter=False,
             )
 
     def _hall_samples(self) -> Iterator[Sample]:
@@ -179,5 +179,5 @@
                 "Seconds since a data hall is to be empty",
                 now - since,
                 {"hall": hall, "orders_revision": str(entry.evacuated.revision)},
-                counter=False,
+                is_counter=False,
             )
--- a/dockreach/direct/feeds.py
+++ b/dockreach/direct/feeds.py
@@ -156,7 +156,7 @@
                 "Seconds since the platform last answered",
                 feed.age_s(now, started),
                 labels,
-                counter=False,
+                is_counter=False,
             )
             yield Sample(
                 "dockreach_direct_feed_calls_total",
--- a/dockreach/editing.py
+++ b/dockreach/editing.py
@@ -14,7 +14,7 @@
 from .declarations import Declarations, parse
 from .errors import RevisionError, SettingsError
 
-_SECTION = re.compile(r"^\[(?P<name>[^\]]+)\]\s*$")
+_SECTION_HEADER = re.compile(r"^\[(?P<name>[^\]]+)\]\s*$")
 
 
 def set_value(body: str, section: str, key: str, value: str) -> str:
@@ -24,14 +24,14 @@
         SettingsError: The section does not exist.
     """
     lines = body.splitlines()
-    start, end = _bounds(lines, section)
+    start, end = _section_bounds(lines, section)
     for index in range(start + 1, end):
         name, equals, _ = lines[index].partition("=")
         if equals and name.strip() == key:
             lines[index] = f"{key} = {value}"
             break
     else:
-        lines.insert(_after_last_key(lines, start, end), f"{key} = {value}")
+        lines.insert(_insertion_index(lines, start, end), f"{key} = {value}")
     return "\n".join(lines) + "\n"
 
 
@@ -41,13 +41,13 @@
     Raises:
         SettingsError: The section already exists.
     """
-    if any(_name(line) == section for line in body.splitlines()):
+    if any(_section_name(line) == section for line in body.splitlines()):
         raise SettingsError("declarations", section, "", "is already declared")
     rows = "\n".join(f"{key} = {value}" for key, value in values.items())
     return f"{body.rstrip()}\n\n[{section}]\n{rows}\n"
 
 
-def raise_revision(body: str, file: str) -> str:
+def increment_revision(body: str, file: str) -> str:
     """Return a body with its revision increased by one.
 
     Raises:
@@ -57,14 +57,16 @@
     return set_value(body, "fleet", "revision", str(revision + 1))
 
 
-def write(path: Path, original: str, changed: str, in_force: int = 0) -> Declarations:
+def write(
+    path: Path, original: str, changed: str, current_revision: int = 0
+) -> Declarations:
     """Validate an edited body and replace the file atomically.
 
     Args:
         path: The declarations file.
         original: Text that the edit was made from.
         changed: Text to write.
-        in_force: Highest revision that the fleet has applied; 0 if unknown.
+        current_revision: Highest revision that the fleet has applied; 0 if unknown.
 
     Returns:
         The new declarations.
@@ -75,8 +77,10 @@
             fleet has applied this revision or a later one; nothing is written.
     """
     declarations = parse(changed, path.name)
-    if in_force >= declarations.revision:
-        problem = f"the fleet has revision {in_force}; this file is older: pull it first"
+    if current_revision >= declarations.revision:
+        problem = (
+            f"the fleet has revision {current_revision}; this file is older: pull it first"
+        )
         raise RevisionError(problem)
     lock = path.with_suffix(path.suffix + ".lock")
     try:
@@ -95,7 +99,7 @@
     return declarations
 
 
-def difference(before: str, after: str, name: str) -> str:
+def unified_diff(before: str, after: str, name: str) -> str:
     """Return the unified diff of two bodies."""
     lines = difflib.unified_diff(
         before.splitlines(),
@@ -107,21 +111,21 @@
     return "\n".join(lines)
 
 
-def _name(line: str) -> str:
-    match = _SECTION.match(line)
+def _section_name(line: str) -> str:
+    match = _SECTION_HEADER.match(line)
     return match["name"] if match else ""
 
 
-def _bounds(lines: list[str], section: str) -> tuple[int, int]:
-    starts = [index for index, line in enumerate(lines) if _name(line)]
+def _section_bounds(lines: list[str], section: str) -> tuple[int, int]:
+    starts = [index for index, line in enumerate(lines) if _section_name(line)]
     for position, index in enumerate(starts):
-        if _name(lines[index]) == section:
+        if _section_name(lines[index]) == section:
             end = starts[position + 1] if position + 1 < len(starts) else len(lines)
             return index, end
     raise SettingsError("declarations", section, "", "the section does not exist")
 
 
-def _after_last_key(lines: list[str], start: int, end: int) -> int:
+def _insertion_index(lines: list[str], start: int, end: int) -> int:
     last = start
     for index in range(start + 1, end):
         if "=" in lines[index] and not lines[index].lstrip().startswith(("#", ";")):
--- a/dockreach/entry_node.py
+++ b/dockreach/entry_node.py
@@ -33,8 +33,8 @@
 from .messages import Heartbeat, Hello, QueryRows, VmRows
 from .metrics import Metrics, Sample, counter_samples, process_samples
 from .node import Node
-from .operating import Operators
-from .pages import Pages
+from .operator_api import OperatorApi
+from .pages import PageRouter
 from .platform import Platform
 from .rendezvous import ranked
 from .settings import Settings
@@ -77,8 +77,8 @@
         )
         self.platform = Platform(settings.platform.url)
         self.metrics = Metrics(self.name)
-        self.pages = Pages(self.is_ready, self._metrics_page)
-        self.operators = Operators(self, settings.operators.key_sha256)
+        self.pages = PageRouter(self.is_ready, self._metrics_page)
+        self.operators = OperatorApi(self, settings.operators.key_sha256)
         self.app = CallerApp(self)
         self.waiters: dict[int, Waiter] = {}
         self._numbers = itertools.count(1)
@@ -91,7 +91,7 @@
 
     def on_query_rows(self, name: str, message: QueryRows) -> None:
         """Pass a peer's rows to the operator's query that requested them."""
-        self.operators.take(message, name)
+        self.operators.handle_rows(message, name)
 
     def start(self) -> None:
         """Start the core, dial the seed peers, and start polling the platform."""
@@ -285,7 +285,7 @@
             log(Event.PLATFORM_BACK)
 
     def _metrics_page(self) -> tuple[bytes, str]:
-        return self.metrics.page(self._samples())
+        return self.metrics.render_page(self._samples())
 
     def _samples(self) -> Iterator[Sample]:
         yield from process_samples(self.started)
@@ -309,7 +309,7 @@
             yield Sample(f"dockreach_config_{name}_total", text, value, {})
         text = "Revision in force"
         revision = self.config.revision
-        yield Sample("dockreach_config_revision", text, revision, {}, counter=False)
+        yield Sample("dockreach_config_revision", text, revision, {}, is_counter=False)
 
 
 def _numbered(message: Admit | AttachRun, number: int) -> Admit | AttachRun:
--- a/dockreach/entry_tables.py
+++ b/dockreach/entry_tables.py
@@ -18,9 +18,9 @@
 import msgspec
 
 from .declarations import Declarations
-from .history import History
 from .limits import LimitTable
 from .messages import AnyMessage, Chunk, Ended, Grant
+from .outcome_history import OutcomeHistory
 from .verdict import Reason, Refusal, Verdict
 
 
@@ -418,7 +418,7 @@
     to_ack: set[str] = field(default_factory=set)
     ended: deque[RequestRow] = field(default_factory=deque)
     woken: dict[int, RequestRow] = field(default_factory=dict)
-    history: History = field(default_factory=History)
+    history: OutcomeHistory = field(default_factory=OutcomeHistory)
     budget: RetryBudget = field(default_factory=RetryBudget)
     floor_tier: int | None = None
     floor_until: float = 0.0
--- a/dockreach/events.py
+++ b/dockreach/events.py
@@ -12,7 +12,7 @@
 from pythonjsonlogger.json import JsonFormatter
 
 from . import clock
-from ._log_output import BoundedHandler
+from ._log_output import NonBlockingHandler
 
 _LOGGER = logging.getLogger("dockreach")
 
@@ -102,44 +102,44 @@
 }
 
 
-STANDARD_OUTPUT = 1
+STDOUT_FD = 1
 
-MOST_A_SECOND = 100
+MAX_LINES_PER_SECOND = 100
 """Maximum log lines per event and second; further lines are dropped and counted. At the
 target load, 11,000 requests per second over 380 daemons, each daemon has 29 requests per
 second."""
 
 
 @dataclass(slots=True)
-class _Rate:
+class _LineRate:
     """Counts the lines of one event in the current second."""
 
     second: int = 0
     count: int = 0
-    left_out: int = 0
+    suppressed: int = 0
 
     def allows(self, now: float) -> bool:
         if int(now) != self.second:
             self.second = int(now)
             self.count = 0
         self.count += 1
-        if self.count > MOST_A_SECOND:
-            self.left_out += 1
+        if self.count > MAX_LINES_PER_SECOND:
+            self.suppressed += 1
             return False
         return True
 
 
-_rates: dict[Event, _Rate] = {}
+_line_rates: dict[Event, _LineRate] = {}
 
 
-def set_up(name: str, level: str) -> None:
+def configure_logging(name: str, level: str) -> None:
     """Configure logging of JSON lines to standard output.
 
     Args:
         name: Name of the daemon, added to every line.
         level: Lowest level that is logged.
     """
-    handler = BoundedHandler(STANDARD_OUTPUT)
+    handler = NonBlockingHandler(STDOUT_FD)
     handler.setFormatter(
         JsonFormatter(
             "%(asctime)s %(levelname)s %(message)s",
@@ -166,16 +166,16 @@
     level = _LEVELS.get(event, logging.INFO)
     if not _LOGGER.isEnabledFor(level):
         return
-    rate = _rates.setdefault(event, _Rate())
+    rate = _line_rates.setdefault(event, _LineRate())
     if not rate.allows(clock.now()):
         return
-    if rate.left_out:
-        fields["left_out"] = rate.left_out
-        rate.left_out = 0
+    if rate.suppressed:
+        fields["left_out"] = rate.suppressed
+        rate.suppressed = 0
     extra = {"event": int(event), "name_of_event": event.name.lower(), **fields}
     _LOGGER.log(level, text or event.name.lower().replace("_", " "), extra=extra)
 
 
-def level_of(event: Event) -> str:
+def level_name(event: Event) -> str:
     """Return the lower-case name of the level at which an event is logged."""
     return logging.getLevelName(_LEVELS.get(event, logging.INFO)).lower()
--- a/dockreach/exchange.py
+++ b/dockreach/exchange.py
@@ -9,7 +9,7 @@
 
 from . import _green
 from ._responses import (
-    RID_HEADER,
+    REQUEST_ID_HEADER,
     TICKET_HEADER,
     VERDICT_HEADER,
     StartResponse,
@@ -148,7 +148,7 @@
         self._event_stream = head.content_type.startswith(EVENT_STREAM)
         headers = [
             ("Content-Type", head.content_type or "application/octet-stream"),
-            (RID_HEADER, row.rid),
+            (REQUEST_ID_HEADER, row.rid),
             (TICKET_HEADER, _ticket(row)),
             (VERDICT_HEADER, Verdict.RAN.value),
         ]
--- a/dockreach/metrics.py
+++ b/dockreach/metrics.py
@@ -11,9 +11,9 @@
 
 from . import clock
 
-ACCEPT = ("text/plain",)
+ACCEPTED_CONTENT_TYPES = ("text/plain",)
 
-BUCKETS_S = (0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 15.0)
+HISTOGRAM_BUCKETS_S = (0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 15.0)
 """Upper bounds of histogram buckets, in seconds: dense around the users' objectives of 0.15
 to 1 s, and up to their longest deadline."""
 
@@ -26,14 +26,14 @@
         help: Description of the metric.
         value: Current value.
         labels: Labels of the value.
-        counter: Whether the metric is a counter; otherwise it is a gauge.
+        is_counter: Whether the metric is a counter; otherwise it is a gauge.
     """
 
     name: str
     help: str
     value: float
     labels: dict[str, str]
-    counter: bool = True
+    is_counter: bool = True
 
 
 class Metrics:
@@ -49,7 +49,7 @@
     def __init__(self, daemon: str) -> None:
         self._registry = Registry()
         self._histograms: dict[str, Any] = {}
-        self._sampled: dict[str, Any] = {}
+        self._sample_collectors: dict[str, Any] = {}
         self._daemon = daemon
 
     def observe(
@@ -70,32 +70,32 @@
                 description,
                 const_labels={"daemon": self._daemon},
                 registry=self._registry,
-                buckets=list(BUCKETS_S),
+                buckets=list(HISTOGRAM_BUCKETS_S),
             )
             self._histograms[name] = histogram
         histogram.observe(labels, value)
 
-    def page(self, samples: Iterable[Sample]) -> tuple[bytes, str]:
+    def render_page(self, samples: Iterable[Sample]) -> tuple[bytes, str]:
         """Return the metrics page of the given samples, and its content type."""
         # Without this, a label set that is no longer sampled would keep its last value.
-        for collector in self._sampled.values():
+        for collector in self._sample_collectors.values():
             collector.values.clear()
         for sample in samples:
             self._collector(sample).set(sample.labels, sample.value)
-        body, headers = render(self._registry, ACCEPT)
+        body, headers = render(self._registry, ACCEPTED_CONTENT_TYPES)
         return body, headers["Content-Type"]
 
     def _collector(self, sample: Sample) -> Any:  # noqa: ANN401
-        collector = self._sampled.get(sample.name)
+        collector = self._sample_collectors.get(sample.name)
         if collector is None:
-            collector_type = Counter if sample.counter else Gauge
+            collector_type = Counter if sample.is_counter else Gauge
             collector = collector_type(
                 sample.name,
                 sample.help,
                 const_labels={"daemon": self._daemon},
                 registry=self._registry,
             )
-            self._sampled[sample.name] = collector
+            self._sample_collectors[sample.name] = collector
         return collector
 
 
@@ -115,15 +115,19 @@
         "Seconds since the start",
         clock.now() - started_at,
         {},
-        counter=False,
+        is_counter=False,
     )
     yield Sample("dockreach_cpu_seconds_total", "Processor time", time.process_time(), {})
     yield Sample(
-        "dockreach_resident_bytes", "Resident memory", _resident(), {}, counter=False
+        "dockreach_resident_bytes",
+        "Resident memory",
+        _resident_bytes(),
+        {},
+        is_counter=False,
     )
 
 
-def _resident() -> float:
+def _resident_bytes() -> float:
     with open("/proc/self/statm", encoding="ascii") as file:
         pages = int(file.read().split()[1])
     return pages * 4096.0
--- a/dockreach/node.py
+++ b/dockreach/node.py
@@ -27,7 +27,7 @@
 from .metrics import Sample
 from .query import Query, Row, Why, matches
 from .query import parse as parse_query
-from .rows import rows, why
+from .query_tables import decision_rows, table_rows
 from .settings import Settings
 from .spreading import ConfigStore
 from .ticker import Ticker
@@ -274,7 +274,7 @@
             text = f"Traffic between daemons: {name.replace('_', ' ')}"
             yield Sample(f"dockreach_link_{name}_total", text, value, {})
         text = "Peers linked now"
-        yield Sample("dockreach_peers", text, len(self.links.peers), {}, counter=False)
+        yield Sample("dockreach_peers", text, len(self.links.peers), {}, is_counter=False)
         yield Sample("dockreach_ticks_total", "Ticks run", self.ticker.ticks, {})
 
     def tables(self) -> EntryWorld | AgentWorld:
@@ -294,11 +294,13 @@
     """Return one daemon's rows for a query, filtered but not yet sorted."""
     world = node.tables()
     if isinstance(query, Why):
-        return list(why(world, query.rid)) if isinstance(world, EntryWorld) else []
+        return (
+            list(decision_rows(world, query.rid)) if isinstance(world, EntryWorld) else []
+        )
     if query.table == "config":
         found: list[Row] = [_config_row(node)]
     else:
-        found = list(rows(world, query.table))
+        found = list(table_rows(world, query.table))
     for row in found:
         row.setdefault("hall", node.settings.daemon.hall)
     return [row for row in found if matches(query, row)]
--- a/dockreach/operating.py
+++ b/dockreach/operator_api.py
@@ -17,15 +17,15 @@
 from .intake import bearer_key
 from .messages import QueryAsk, QueryRows
 from .node import local_rows
-from .pages import answer
-from .query import Row, Select, Why, arranged, parse
+from .pages import send_response
+from .query import Row, Select, Why, filter_and_sort, parse
 from .verdict import Reason
 
 if TYPE_CHECKING:
     from .entry_node import EntryNode
 
 MAX_BODY_BYTES = 1 << 16
-WAIT_S = 1.5
+QUERY_TIMEOUT_S = 1.5
 """How long a query waits for the rows of other daemons."""
 
 Environ = dict[str, Any]
@@ -67,7 +67,7 @@
 _Body = TypeVar("_Body", QueryRequest, CancelRequest)
 
 
-class _Gathering:
+class _PendingQuery:
     """A query that waits for rows of peers.
 
     Attributes:
@@ -82,7 +82,7 @@
         self.signal = _green.Signal()
 
 
-class Operators:
+class OperatorApi:
     """Serves the operators' pages of an entry.
 
     Args:
@@ -94,21 +94,21 @@
     def __init__(self, node: EntryNode, key_sha256: str) -> None:
         self._node = node
         self._key_sha256 = key_sha256
-        self._numbers = itertools.count(1)
-        self._open: dict[int, _Gathering] = {}
+        self._query_numbers = itertools.count(1)
+        self._pending: dict[int, _PendingQuery] = {}
         node.pages.add("/operators/query", self._query_page)
         node.pages.add("/operators/cancel", self._cancel_page)
 
-    def take(self, message: QueryRows, peer: str) -> None:
+    def handle_rows(self, message: QueryRows, peer: str) -> None:
         """Add the rows of one peer to the query that they belong to."""
-        pending = self._open.get(message.number)
+        pending = self._pending.get(message.number)
         if pending is None:
             return
         pending.rows += message.rows
         pending.waiting.discard(peer)
         pending.signal.set()
 
-    def ask(self, text: str) -> QueryAnswer:
+    def run_query(self, text: str) -> QueryAnswer:
         """Run a query on this daemon and on all daemons connected to it.
 
         Raises:
@@ -116,74 +116,80 @@
         """
         query = parse(text)
         node = self._node
-        number = next(self._numbers)
-        pending = _Gathering(set(node.links.peers))
+        number = next(self._query_numbers)
+        pending = _PendingQuery(set(node.links.peers))
         pending.rows += local_rows(node, query)
-        self._open[number] = pending
+        self._pending[number] = pending
         for peer in pending.waiting:
             node.links.send(peer, QueryAsk(number=number, text=text))
         node.links.flush()
-        remaining = WAIT_S
+        remaining = QUERY_TIMEOUT_S
         while pending.waiting and remaining > 0:
             pending.signal.wait(0.05)
             remaining -= 0.05
-        del self._open[number]
+        del self._pending[number]
         unlinked = {row.vm for row in node.vms.rows} - {node.name, *node.links.peers}
         silent = sorted(pending.waiting | unlinked)
-        return QueryAnswer(_final(query, pending.rows), silent)
+        return QueryAnswer(_arrange_rows(query, pending.rows), silent)
 
     def _query_page(
         self, environ: Environ, start_response: StartResponse
     ) -> Iterator[bytes]:
-        if not self._admitted(environ):
-            return _error(
+        if not self._is_authorized(environ):
+            return _send_error(
                 start_response, "401 Unauthorized", "the operators' key is needed"
             )
         try:
-            request = _read(environ, QueryRequest)
-            result = self.ask(request.query)
+            request = _decode_body(environ, QueryRequest)
+            result = self.run_query(request.query)
         except (msgspec.MsgspecError, QueryError) as exc:
-            return _error(start_response, "400 Bad Request", str(exc))
+            return _send_error(start_response, "400 Bad Request", str(exc))
         log(Event.OPERATOR_QUERY, query=request.query)
-        return answer(
+        return send_response(
             start_response, "200 OK", msgspec.json.encode(result), "application/json"
         )
 
     def _cancel_page(
         self, environ: Environ, start_response: StartResponse
     ) -> Iterator[bytes]:
-        if not self._admitted(environ):
-            return _error(
+        if not self._is_authorized(environ):
+            return _send_error(
                 start_response, "401 Unauthorized", "the operators' key is needed"
             )
         try:
-            request = _read(environ, CancelRequest)
+            request = _decode_body(environ, CancelRequest)
         except msgspec.MsgspecError as exc:
-            return _error(start_response, "400 Bad Request", str(exc))
+            return _send_error(start_response, "400 Bad Request", str(exc))
         row = self._node.world.requests.get(request.request)
         if row is None:
-            return _error(start_response, "404 Not Found", "this entry has no such request")
+            return _send_error(
+                start_response, "404 Not Found", "this entry has no such request"
+            )
         gone = CallerGone(row.rid, row.caller, Reason.OPERATOR)
         self._node.ticker.put("", gone)
         log(Event.OPERATOR_CANCEL, request=row.rid)
-        return answer(start_response, "200 OK", b'{"cancelled":true}', "application/json")
+        return send_response(
+            start_response, "200 OK", b'{"cancelled":true}', "application/json"
+        )
 
-    def _admitted(self, environ: Environ) -> bool:
+    def _is_authorized(self, environ: Environ) -> bool:
         key = bearer_key(environ.get("HTTP_AUTHORIZATION", ""))
         if key is None or not self._key_sha256:
             return False
         return hmac.compare_digest(key_hash(key), self._key_sha256)
 
 
-def _read(environ: Environ, kind: type[_Body]) -> _Body:
+def _decode_body(environ: Environ, kind: type[_Body]) -> _Body:
     """Return the decoded and validated body of an operator's request."""
     return msgspec.json.decode(environ["wsgi.input"].read(MAX_BODY_BYTES), type=kind)
 
 
-def _final(query: Select | Why, rows: list[Row]) -> list[Row]:
-    return arranged(query, rows) if isinstance(query, Select) else rows
+def _arrange_rows(query: Select | Why, rows: list[Row]) -> list[Row]:
+    return filter_and_sort(query, rows) if isinstance(query, Select) else rows
 
 
-def _error(start_response: StartResponse, status: str, problem: str) -> Iterator[bytes]:
+def _send_error(
+    start_response: StartResponse, status: str, problem: str
+) -> Iterator[bytes]:
     body = msgspec.json.encode({"error": problem})
-    return answer(start_response, status, body, "application/json")
+    return send_response(start_response, status, body, "application/json")
--- a/dockreach/history.py
+++ b/dockreach/outcome_history.py
@@ -6,16 +6,16 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-FINE_S = 60.0
-FINE_KEPT = 60
-COARSE_S = 600.0
-COARSE_KEPT = 36
+FINE_BUCKET_S = 60.0
+MAX_FINE_BUCKETS = 60
+COARSE_BUCKET_S = 600.0
+MAX_COARSE_BUCKETS = 36
 
-WINDOWS_S = (300.0, 3600.0, 21600.0)
+BURN_WINDOWS_S = (300.0, 3600.0, 21600.0)
 """Windows for which a burn rate is reported."""
 
 
-class Group(NamedTuple):
+class OutcomeGroup(NamedTuple):
     """The tier and organisation whose requests are counted together."""
 
     tier: int
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class Tally:
+class OutcomeCounts:
     """Request counts.
 
     Attributes:
@@ -38,43 +38,46 @@
 @dataclass(slots=True)
 class _Bucket:
     start: float
-    tallies: dict[Group, Tally] = field(default_factory=dict)
+    counts: dict[OutcomeGroup, OutcomeCounts] = field(default_factory=dict)
 
 
-class History:
+class OutcomeHistory:
     """Counts in buckets of one minute for the last hour and ten minutes for the last six.
 
     Memory is bounded, as the oldest bucket is dropped when a new one is added.
     """
 
     def __init__(self) -> None:
-        self._fine: deque[_Bucket] = deque(maxlen=FINE_KEPT)
-        self._coarse: deque[_Bucket] = deque(maxlen=COARSE_KEPT)
+        self._fine: deque[_Bucket] = deque(maxlen=MAX_FINE_BUCKETS)
+        self._coarse: deque[_Bucket] = deque(maxlen=MAX_COARSE_BUCKETS)
 
-    def count(self, group: Group, good: bool, now: float) -> None:
+    def record(self, group: OutcomeGroup, good: bool, now: float) -> None:
         """Record the outcome of one request."""
-        for buckets, width in ((self._fine, FINE_S), (self._coarse, COARSE_S)):
+        for buckets, width in (
+            (self._fine, FINE_BUCKET_S),
+            (self._coarse, COARSE_BUCKET_S),
+        ):
             start = now - now % width
             if not buckets or buckets[-1].start < start:
                 buckets.append(_Bucket(start))
-            counts = buckets[-1].tallies.setdefault(group, Tally())
+            counts = buckets[-1].counts.setdefault(group, OutcomeCounts())
             counts.total += 1
             counts.good += int(good)
 
-    def window(self, seconds: float, now: float) -> dict[Group, Tally]:
+    def totals(self, seconds: float, now: float) -> dict[OutcomeGroup, OutcomeCounts]:
         """Return the counts of a window.
 
         Args:
             seconds: Length of the window, which ends now.
             now: Current time.
         """
-        fine = seconds <= FINE_S * FINE_KEPT
-        totals: dict[Group, Tally] = {}
+        fine = seconds <= FINE_BUCKET_S * MAX_FINE_BUCKETS
+        totals: dict[OutcomeGroup, OutcomeCounts] = {}
         for bucket in self._fine if fine else self._coarse:
-            if bucket.start + (FINE_S if fine else COARSE_S) < now - seconds:
+            if bucket.start + (FINE_BUCKET_S if fine else COARSE_BUCKET_S) < now - seconds:
                 continue
-            for group, counts in bucket.tallies.items():
-                total = totals.setdefault(group, Tally())
+            for group, counts in bucket.counts.items():
+                total = totals.setdefault(group, OutcomeCounts())
                 total.good += counts.good
                 total.total += counts.total
         return totals
--- a/dockreach/pages.py
+++ b/dockreach/pages.py
@@ -7,10 +7,10 @@
 
 Environ = dict[str, Any]
 StartResponse = Callable[..., Any]
-Page = Callable[[Environ, StartResponse], Iterator[bytes]]
+PageHandler = Callable[[Environ, StartResponse], Iterator[bytes]]
 
 
-class Pages:
+class PageRouter:
     """A WSGI application that selects a page by its path.
 
     Args:
@@ -23,17 +23,17 @@
     ) -> None:
         self._ready = ready
         self._metrics = metrics
-        self._pages: dict[str, Page] = {
+        self._pages: dict[str, PageHandler] = {
             "/healthz": self._healthz,
             "/readyz": self._readyz,
             "/metrics": self._metrics_page,
         }
 
-    def add(self, path: str, page: Page) -> None:
+    def add(self, path: str, page: PageHandler) -> None:
         """Register a page under a path."""
         self._pages[path] = page
 
-    def find(self, path: str) -> Page | None:
+    def find(self, path: str) -> PageHandler | None:
         """Return the page at a path; ``None`` if there is none."""
         return self._pages.get(path)
 
@@ -41,28 +41,28 @@
         """Serve a registered page, or 404; an agent serves no other paths."""
         page = self.find(environ.get("PATH_INFO", "/"))
         if page is None:
-            return answer(start_response, "404 Not Found", b"not found\n")
+            return send_response(start_response, "404 Not Found", b"not found\n")
         return page(environ, start_response)
 
     def _healthz(self, environ: Environ, start_response: StartResponse) -> Iterator[bytes]:
         del environ
-        return answer(start_response, "200 OK", b"alive\n")
+        return send_response(start_response, "200 OK", b"alive\n")
 
     def _readyz(self, environ: Environ, start_response: StartResponse) -> Iterator[bytes]:
         del environ
         if self._ready():
-            return answer(start_response, "200 OK", b"ready\n")
-        return answer(start_response, "503 Not Ready", b"not ready\n")
+            return send_response(start_response, "200 OK", b"ready\n")
+        return send_response(start_response, "503 Not Ready", b"not ready\n")
 
     def _metrics_page(
         self, environ: Environ, start_response: StartResponse
     ) -> Iterator[bytes]:
         del environ
         body, content_type = self._metrics()
-        return answer(start_response, "200 OK", body, content_type)
+        return send_response(start_response, "200 OK", body, content_type)
 
 
-def answer(
+def send_response(
     start_response: StartResponse,
     status: str,
     body: bytes,
--- a/dockreach/query.py
+++ b/dockreach/query.py
@@ -18,7 +18,7 @@
 Value = str | int | float | bool | None
 Row = dict[str, Value]
 
-_COMPARE: dict[str, Callable[[Any, Any], bool]] = {
+_COMPARISONS: dict[str, Callable[[Any, Any], bool]] = {
     "=": operator.eq,
     "!=": operator.ne,
     "<": operator.lt,
@@ -87,16 +87,16 @@
         tree = _parser().parse(text)
     except UnexpectedInput as exc:
         parsed = text[: exc.column - 1] if exc.column and exc.column > 0 else text
-        raise QueryError(f"not understood after {parsed!r}; {_HELP}") from exc
+        raise QueryError(f"not understood after {parsed!r}; {_SYNTAX_HELP}") from exc
     except LarkError as exc:
-        raise QueryError(f"not understood; {_HELP}") from exc
+        raise QueryError(f"not understood; {_SYNTAX_HELP}") from exc
     node = tree.children[0]
     if node.data == "why":
         return Why(str(node.children[0]))
     return _select(node)
 
 
-_HELP = (
+_SYNTAX_HELP = (
     "write TABLE [in hall H] [where COLUMN = VALUE and ...] [order by COLUMN] [limit N], "
     "or why REQUEST; tables: requests, engines, members, orgs, config, burn"
 )
@@ -133,10 +133,10 @@
         f"hall{select.hall}",
     ):
         return False
-    return all(_holds(condition, row) for condition in select.conditions)
+    return all(_condition_holds(condition, row) for condition in select.conditions)
 
 
-def _holds(condition: Condition, row: Row) -> bool:
+def _condition_holds(condition: Condition, row: Row) -> bool:
     actual = row.get(condition.column)
     expected: Any = condition.value
     if isinstance(actual, bool):
@@ -144,20 +144,20 @@
     elif isinstance(actual, int | float) and isinstance(expected, str):
         return False
     elif isinstance(actual, str):
-        expected = _as_written(expected)
+        expected = _to_text(expected)
     if actual is None:
         return False
-    return _COMPARE[condition.operator](actual, expected)
+    return _COMPARISONS[condition.operator](actual, expected)
 
 
-def _as_written(value: str | float) -> str:
+def _to_text(value: str | float) -> str:
     """Return a value as text; numbers without a fraction have no decimal point."""
     if isinstance(value, float) and value.is_integer():
         return str(int(value))
     return str(value)
 
 
-def arranged(select: Select, rows: Iterable[Row]) -> list[Row]:
+def filter_and_sort(select: Select, rows: Iterable[Row]) -> list[Row]:
     """Return the rows that match a query, in its order and up to its limit."""
     matching = [row for row in rows if matches(select, row)]
     if select.order:
@@ -174,6 +174,6 @@
     return (1, 0.0, "" if value is None else str(value))
 
 
-def columns(rows: Sequence[Row]) -> list[str]:
+def column_names(rows: Sequence[Row]) -> list[str]:
     """Return the column names of rows, in order of first occurrence."""
     return list(dict.fromkeys(name for row in rows for name in row))
--- a/dockreach/rows.py
+++ b/dockreach/query_tables.py
@@ -7,12 +7,12 @@
 
 from .agent_tables import AgentWorld
 from .entry_tables import EntryWorld, RequestRow
-from .history import WINDOWS_S
+from .outcome_history import BURN_WINDOWS_S
 from .query import Row
 
 
 @singledispatch
-def rows(world: object, table: str) -> Iterator[Row]:
+def table_rows(world: object, table: str) -> Iterator[Row]:
     """Return this daemon's rows of a table.
 
     Args:
@@ -22,25 +22,25 @@
     raise TypeError(f"no rows of {type(world).__name__} for {table}")
 
 
-@rows.register
+@table_rows.register
 def _(world: EntryWorld, table: str) -> Iterator[Row]:
     if table == "requests":
-        yield from _requests(world)
+        yield from _request_rows(world)
     elif table == "members":
-        yield from _members(world)
+        yield from _member_rows(world)
     elif table == "orgs":
-        yield from _organisations(world)
+        yield from _organisation_rows(world)
     elif table == "burn":
-        yield from _burn(world)
+        yield from _burn_rows(world)
 
 
-@rows.register
+@table_rows.register
 def _(world: AgentWorld, table: str) -> Iterator[Row]:
     if table == "engines":
-        yield _engine(world)
+        yield _engine_row(world)
 
 
-def _requests(world: EntryWorld) -> Iterator[Row]:
+def _request_rows(world: EntryWorld) -> Iterator[Row]:
     for req in world.requests.values():
         yield request_row(world, req)
 
@@ -49,7 +49,7 @@
     """Return the row of one request; its age and the time left are in seconds."""
     return {
         "request": req.rid,
-        "tier": world.declarations.ranks.get(req.tier, str(req.tier)),
+        "tier": world.declarations.tier_names_by_rank.get(req.tier, str(req.tier)),
         "organisation": req.organisation,
         "state": req.phase.value,
         "entry": world.name,
@@ -62,7 +62,7 @@
     }
 
 
-def _members(world: EntryWorld) -> Iterator[Row]:
+def _member_rows(world: EntryWorld) -> Iterator[Row]:
     for agent in world.agents.values():
         yield {
             "member": agent.name,
@@ -83,7 +83,7 @@
         }
 
 
-def _organisations(world: EntryWorld) -> Iterator[Row]:
+def _organisation_rows(world: EntryWorld) -> Iterator[Row]:
     for name, share in world.limits.shares.items():
         organisation = world.declarations.organisations.get(name)
         if organisation is None:
@@ -100,13 +100,15 @@
         }
 
 
-def _burn(world: EntryWorld) -> Iterator[Row]:
+def _burn_rows(world: EntryWorld) -> Iterator[Row]:
     uptime = world.now - world.started
-    for window in WINDOWS_S:
-        for group, counts in world.history.window(window, world.now).items():
+    for window in BURN_WINDOWS_S:
+        for group, counts in world.history.totals(window, world.now).items():
             yield {
                 "entry": world.name,
-                "tier": world.declarations.ranks.get(group.tier, str(group.tier)),
+                "tier": world.declarations.tier_names_by_rank.get(
+                    group.tier, str(group.tier)
+                ),
                 "organisation": group.organisation,
                 "window": window,
                 "good": counts.good,
@@ -115,7 +117,7 @@
             }
 
 
-def _engine(world: AgentWorld) -> Row:
+def _engine_row(world: AgentWorld) -> Row:
     model = world.model
     return {
         "engine": world.name,
@@ -138,7 +140,7 @@
     return "suspect" if world.model.suspect(world.now) else "open"
 
 
-def why(world: EntryWorld, rid: str) -> Iterator[Row]:
+def decision_rows(world: EntryWorld, rid: str) -> Iterator[Row]:
     """Return the decisions about a running or recently ended request, in order of time."""
     ended = [req for req in world.ended if req.rid == rid]
     running = [world.requests[rid]] if rid in world.requests else []
--- a/dockreach/story.py
+++ b/dockreach/request_timeline.py
@@ -11,11 +11,11 @@
 
 from .events import Event
 
-TIME_FORMAT = "%Y-%m-%d %H:%M:%S,%f"
+LOG_TIME_FORMAT = "%Y-%m-%d %H:%M:%S,%f"
 
-_SHOWN_APART = {"time", "level", "message", "daemon", "event", "name_of_event", "rid"}
+_STANDARD_FIELDS = {"time", "level", "message", "daemon", "event", "name_of_event", "rid"}
 
-_ABOUT_REQUESTS = range(Event.REQUEST_ANSWERED, Event.DIGEST_REFUSED)
+_REQUEST_EVENTS = range(Event.REQUEST_ANSWERED, Event.DIGEST_REFUSED)
 """Events of single requests; all other events concern the state of a daemon."""
 
 
@@ -45,7 +45,7 @@
         return str(self.fields.get("endpoint", ""))
 
     @property
-    def held(self) -> timedelta:
+    def request_age(self) -> timedelta:
         """Time from the arrival of the request to this line."""
         return timedelta(milliseconds=float(self.fields.get("held_ms", 0)))
 
@@ -55,7 +55,7 @@
         return f"{self.time:%H:%M:%S.%f} {self.daemon} {self.event} {self.message} {rest}"
 
 
-def read_lines(texts: Iterable[str]) -> Iterator[LogLine]:
+def parse_lines(texts: Iterable[str]) -> Iterator[LogLine]:
     """Decode log lines; skip text before the JSON object, and lines without one.
 
     Args:
@@ -67,24 +67,26 @@
             continue
         try:
             values = msgspec.json.decode(text[start:].strip())
-            yield _line(values)
+            yield _to_log_line(values)
         except (msgspec.DecodeError, KeyError, ValueError, TypeError):
             # Not a log line, such as a line of a traceback, or a truncated one.
             continue
 
 
-def _line(values: dict[str, Any]) -> LogLine:
+def _to_log_line(values: dict[str, Any]) -> LogLine:
     return LogLine(
-        time=datetime.strptime(values["time"], TIME_FORMAT),
+        time=datetime.strptime(values["time"], LOG_TIME_FORMAT),
         daemon=values["daemon"],
         event=values["event"],
         message=values["message"],
         rid=values.get("rid", ""),
-        fields={name: values[name] for name in values if name not in _SHOWN_APART},
+        fields={name: values[name] for name in values if name not in _STANDARD_FIELDS},
     )
 
 
-def story(lines: Iterable[LogLine], rid: str, *, before_s: float = 3.0) -> list[LogLine]:
+def build_timeline(
+    lines: Iterable[LogLine], rid: str, *, before_s: float = 3.0
+) -> list[LogLine]:
     """Return the log lines that explain what happened to a request, sorted by time.
 
     These are the lines of the request and, from the same daemons and the same time span,
@@ -99,32 +101,37 @@
     """
     all_lines = list(lines)
     own = [line for line in all_lines if line.rid == rid]
-    spans = {line.daemon: _span(own, line.daemon, before_s) for line in own}
+    spans = {line.daemon: _time_span(own, line.daemon, before_s) for line in own}
     endpoints = {line.endpoint for line in own if line.endpoint}
     selected = [
         line
         for line in all_lines
-        if line.rid == rid or (_is_near(line, spans) and _matters(line, endpoints))
+        if line.rid == rid
+        or (_is_within_span(line, spans) and _is_related(line, endpoints))
     ]
     return sorted(selected, key=lambda line: line.time)
 
 
-def _span(own: list[LogLine], daemon: str, before_s: float) -> tuple[datetime, datetime]:
+def _time_span(
+    own: list[LogLine], daemon: str, before_s: float
+) -> tuple[datetime, datetime]:
     """Return the time span that a daemon's part of the timeline covers."""
     of_daemon = [line for line in own if line.daemon == daemon]
-    start = min(line.time - line.held for line in of_daemon) - timedelta(seconds=before_s)
+    start = min(line.time - line.request_age for line in of_daemon) - timedelta(
+        seconds=before_s
+    )
     return start, max(line.time for line in of_daemon)
 
 
-def _is_near(line: LogLine, spans: dict[str, tuple[datetime, datetime]]) -> bool:
+def _is_within_span(line: LogLine, spans: dict[str, tuple[datetime, datetime]]) -> bool:
     if line.daemon not in spans:
         return False
     start, end = spans[line.daemon]
     return start <= line.time <= end
 
 
-def _matters(line: LogLine, endpoints: set[str]) -> bool:
+def _is_related(line: LogLine, endpoints: set[str]) -> bool:
     """Return whether a line of another request or of none belongs to the timeline."""
-    if line.event not in _ABOUT_REQUESTS:
+    if line.event not in _REQUEST_EVENTS:
         return True
     return line.event == Event.ATTEMPT_ENDED and line.endpoint in endpoints
--- a/dockreach/served_worth.py
+++ b/dockreach/service_worth.py
@@ -13,7 +13,7 @@
 
 from .direct.outcomes import Outcome, OutcomeKey
 
-NOT_OWED = frozenset(("bad_key", "unknown_service", "bad_request"))
+CALLER_FAULT_REASONS = frozenset(("bad_key", "unknown_service", "bad_request"))
 """Reasons of refusals for which the caller is responsible; they do not count."""
 
 
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class Counted:
+class AttemptCounts:
     """Attempts of callers, added up over entries.
 
     Attributes:
@@ -58,7 +58,7 @@
         self.tries[outcome_key] = self.tries.get(outcome_key, 0.0) + attempts
         self.held[outcome_key] = self.held.get(outcome_key, 0.0) + held
 
-    def include(self, other: Counted) -> None:
+    def merge(self, other: AttemptCounts) -> None:
         """Add the counts and problems of another object."""
         for outcome_key, attempts in other.tries.items():
             self.add(outcome_key, attempts, other.held.get(outcome_key, 0.0))
@@ -99,7 +99,7 @@
     held: float = 0.0
     again: float = 0.0
 
-    def lost(self, prices: Prices) -> dict[str, float]:
+    def losses(self, prices: Prices) -> dict[str, float]:
         """Return the losses per owed request, by cause."""
         owed = max(self.owed, 1.0)
         late = self.late_first + self.late_gap
@@ -120,18 +120,20 @@
         return (gained - lost) / max(self.owed, 1.0)
 
 
-def by_route(counts: Counted) -> list[RouteWorth]:
+def worth_by_route(counts: AttemptCounts) -> list[RouteWorth]:
     """Return the worth of each route, the highest tier first."""
     routes: dict[tuple[int, str], RouteWorth] = {}
     for outcome_key, attempts in counts.tries.items():
         key = (outcome_key.tier, outcome_key.route)
         row = routes.setdefault(key, RouteWorth(outcome_key.route, outcome_key.tier))
-        _add(row, outcome_key, attempts, counts.held.get(outcome_key, 0.0))
+        _add_attempts(row, outcome_key, attempts, counts.held.get(outcome_key, 0.0))
     return [routes[key] for key in sorted(routes)]
 
 
-def _add(row: RouteWorth, outcome_key: OutcomeKey, attempts: float, held: float) -> None:
-    if outcome_key.reason in NOT_OWED or outcome_key.outcome is Outcome.LEFT:
+def _add_attempts(
+    row: RouteWorth, outcome_key: OutcomeKey, attempts: float, held: float
+) -> None:
+    if outcome_key.reason in CALLER_FAULT_REASONS or outcome_key.outcome is Outcome.LEFT:
         return
     if outcome_key.is_retry:
         row.returned += attempts
@@ -150,7 +152,7 @@
         row.again += attempts if outcome_key.is_retry else 0.0
 
 
-def total(rows: Iterable[RouteWorth], prices: Prices) -> float:
+def total_worth(rows: Iterable[RouteWorth], prices: Prices) -> float:
     """Return the mean worth of all routes, weighted by tier and owed requests."""
     weighted = [(row, row.owed * prices.tiers.get(row.tier, 1.0)) for row in rows]
     owed = sum(weight for _, weight in weighted)
--- a/dockreach/served_reading.py
+++ b/dockreach/service_worth_input.py
@@ -18,12 +18,12 @@
     OutcomeKey,
 )
 from .errors import SettingsError
-from .served_worth import Counted, Prices
-from .story import LogLine, read_lines
+from .request_timeline import LogLine, parse_lines
+from .service_worth import AttemptCounts, Prices
 
 SECTION = "worth"
-_TIER = "tier."
-_LINE = '"event":'
+_TIER_KEY_PREFIX = "tier."
+_LOG_LINE_MARKER = '"event":'
 """A text that every log line contains and no metrics page."""
 
 _DEFAULTS = Prices()
@@ -50,9 +50,9 @@
         parser.read_string(path.read_text())
         section = dict(parser[SECTION])
         tiers = {
-            int(key.removeprefix(_TIER)): float(section.pop(key))
+            int(key.removeprefix(_TIER_KEY_PREFIX)): float(section.pop(key))
             for key in list(section)
-            if key.startswith(_TIER)
+            if key.startswith(_TIER_KEY_PREFIX)
         }
         model = msgspec.convert(section, _PricesModel, strict=False)
     except KeyError as exc:
@@ -62,29 +62,33 @@
     return Prices(model.late_part, model.held, model.again, tiers)
 
 
-def read_files(paths: Iterable[Path]) -> Counted:
+def read_attempt_counts(paths: Iterable[Path]) -> AttemptCounts:
     """Add up the attempts in files; the result lists what could not be read.
 
     A file of JSON lines is a log, any other file is a metrics page. Log lines may have been
     dropped under load, so that counts from logs can be incomplete; those from metrics pages
     are complete.
     """
-    counts = Counted()
+    counts = AttemptCounts()
     for path in paths:
         try:
             text = path.read_text(errors="replace")
         except OSError as exc:
             counts.problems.append(f"{path}: {exc.strerror}")
             continue
-        of_file = _read_log(path, text) if _LINE in text else _read_page(path, text)
+        of_file = (
+            _read_log(path, text)
+            if _LOG_LINE_MARKER in text
+            else _read_metrics_page(path, text)
+        )
         if not of_file.tries:
             of_file.problems.append(f"{path}: no attempts found")
-        counts.include(of_file)
+        counts.merge(of_file)
     return counts
 
 
-def _read_page(path: Path, text: str) -> Counted:
-    counts = Counted()
+def _read_metrics_page(path: Path, text: str) -> AttemptCounts:
+    counts = AttemptCounts()
     try:
         for family in text_string_to_metric_families(text):
             for sample in family.samples:
@@ -94,17 +98,17 @@
     return counts
 
 
-def _add_sample(sample: ParsedSample, counts: Counted) -> None:
+def _add_sample(sample: ParsedSample, counts: AttemptCounts) -> None:
     if sample.name == ATTEMPTS_METRIC:
         counts.add(OutcomeKey.from_labels(sample.labels), sample.value, 0.0)
     elif sample.name == UNSERVED_TIME_METRIC:
         counts.add(OutcomeKey.from_labels(sample.labels), 0.0, sample.value)
 
 
-def _read_log(path: Path, text: str) -> Counted:
-    counts = Counted()
-    texts = [line for line in text.splitlines() if _LINE in line]
-    lines = list(read_lines(texts))
+def _read_log(path: Path, text: str) -> AttemptCounts:
+    counts = AttemptCounts()
+    texts = [line for line in text.splitlines() if _LOG_LINE_MARKER in line]
+    lines = list(parse_lines(texts))
     if len(lines) < len(texts):
         counts.problems.append(f"{path}: {len(texts) - len(lines)} torn lines")
     for line in lines:
@@ -115,7 +119,7 @@
     return counts
 
 
-def _add_line(line: LogLine, counts: Counted) -> None:
+def _add_line(line: LogLine, counts: AttemptCounts) -> None:
     try:
         outcome_key = OutcomeKey(
             route=str(line.fields["route"]),
@@ -130,5 +134,5 @@
     objective_s = float(line.fields.get("objective_ms", 0)) / 1000
     held_objectives = 0.0
     if outcome_key.outcome not in SERVED and objective_s:
-        held_objectives = line.held.total_seconds() / objective_s
+        held_objectives = line.request_age.total_seconds() / objective_s
     counts.add(outcome_key, 1.0, held_objectives)
--- a/dockreach/settings.py
+++ b/dockreach/settings.py
@@ -8,13 +8,13 @@
 import msgspec
 from msgspec import Meta
 
-from .declarations import convert, new_parser
+from .declarations import convert_section, new_parser
 from .errors import SettingsError
 
 Address = Annotated[str, Meta(pattern=r"^(\d{1,3}\.){3}\d{1,3}:\d{1,5}$")]
 Url = Annotated[str, Meta(pattern=r"^http://(\d{1,3}\.){3}\d{1,3}:\d{1,5}$")]
 Role = Annotated[str, Meta(pattern="^(entry|agent)$")]
-Name = Annotated[str, Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9_.-]{0,62}$")]
+DaemonName = Annotated[str, Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9_.-]{0,62}$")]
 
 
 class DaemonSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -26,7 +26,7 @@
         hall: Data hall of the daemon.
     """
 
-    name: Name
+    name: DaemonName
     role: Role
     hall: str
     region: str = ""
@@ -138,7 +138,7 @@
     operators: OperatorsSection
 
 
-_SECTIONS: dict[str, type[msgspec.Struct]] = {
+_SECTION_TYPES: dict[str, type[msgspec.Struct]] = {
     "daemon": DaemonSection,
     "listen": ListenSection,
     "platform": PlatformSection,
@@ -149,7 +149,7 @@
     "operators": OperatorsSection,
 }
 
-_OPTIONAL = ("limits", "log", "peers", "operators")
+_OPTIONAL_SECTIONS = ("limits", "log", "peers", "operators")
 
 
 def load(path: str) -> Settings:
@@ -179,23 +179,23 @@
         problem = f"not valid INI: {str(exc).splitlines()[0]}"
         raise SettingsError(file, "", "", problem) from exc
     for section in parser.sections():
-        if section not in _SECTIONS:
-            allowed = ", ".join(_SECTIONS)
+        if section not in _SECTION_TYPES:
+            allowed = ", ".join(_SECTION_TYPES)
             raise SettingsError(file, section, "", f"unknown section; allowed: {allowed}")
-    parts = {name: _section(parser, name, file) for name in _SECTIONS}
+    parts = {name: _parse_section(parser, name, file) for name in _SECTION_TYPES}
     settings = Settings(**parts)  # type: ignore[arg-type]
     if settings.daemon.role == "agent" and settings.engine is None:
         raise SettingsError(file, "engine", "url", "an agent needs its endpoint's URL")
     return settings
 
 
-def _section(
+def _parse_section(
     parser: configparser.ConfigParser, name: str, file: str
 ) -> msgspec.Struct | None:
     if parser.has_section(name):
-        return convert(_SECTIONS[name], parser[name], file, name)
-    if name in _OPTIONAL:
-        return _SECTIONS[name]()
+        return convert_section(_SECTION_TYPES[name], parser[name], file, name)
+    if name in _OPTIONAL_SECTIONS:
+        return _SECTION_TYPES[name]()
     if name == "engine":
         return None
     raise SettingsError(file, name, "", "section is missing")
--- a/dockreach/shedding.py
+++ b/dockreach/shedding.py
@@ -11,8 +11,8 @@
 from . import placement
 from .entry_tables import CallerGone, EntryWorld, Phase, RequestRow, receive
 from .granting import MILLIS
-from .history import Group
 from .messages import Cancel, Floor, Withdraw
+from .outcome_history import OutcomeGroup
 from .verdict import Reason, Refusal, Verdict
 
 HEADROOM_S = 1.0
@@ -65,7 +65,7 @@
 def _count(world: EntryWorld, req: RequestRow, refusal: Refusal | None) -> None:
     if refusal is None or refusal.reason not in NOT_COUNTED:
         good = refusal is None and world.now <= req.deadline
-        world.history.count(Group(req.tier, req.organisation), good, world.now)
+        world.history.record(OutcomeGroup(req.tier, req.organisation), good, world.now)
     if refusal is None:
         world.counters.whole += 1
         world.note(req, "whole", req.agent)
--- a/dockreach/verdict.py
+++ b/dockreach/verdict.py
@@ -128,9 +128,9 @@
 }
 """HTTP status by reason; `DEFAULT_HTTP_STATUS` applies to reasons not listed here."""
 
-DEFAULT_STATUS = 502
+DEFAULT_HTTP_STATUS = 502
 
 
 def http_status(reason: Reason) -> int:
     """Return the HTTP status of a refusal with the given reason."""
-    return HTTP_STATUS.get(reason, DEFAULT_STATUS)
+    return HTTP_STATUS.get(reason, DEFAULT_HTTP_STATUS)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -27,12 +27,12 @@
     return path
 
 
-def run(*arguments: str) -> Result:
+def run_cli(*arguments: str) -> Result:
     return CliRunner().invoke(main, list(arguments))
 
 
 def test_edit_keeps_comments_and_increments_the_revision(fleet_file: Path) -> None:
-    result = run("drain", "engine1", "--file", str(fleet_file))
+    result = run_cli("drain", "engine1", "--file", str(fleet_file))
     assert result.exit_code == 0, result.output
     text = fleet_file.read_text()
     declarations = parse(text)
@@ -44,7 +44,7 @@
 
 def test_invalid_edit_writes_nothing(fleet_file: Path) -> None:
     before = fleet_file.read_text()
-    result = run("set", "endpoint engine1", "slots=none", "--file", str(fleet_file))
+    result = run_cli("set", "endpoint engine1", "slots=none", "--file", str(fleet_file))
     assert result.exit_code == 1
     assert "[endpoint engine1] slots" in result.output
     assert fleet_file.read_text() == before
@@ -52,7 +52,7 @@
 
 def test_concurrent_edit_is_not_overwritten(fleet_file: Path) -> None:
     original = fleet_file.read_text()
-    second = editing.raise_revision(original, "fleet.ini")
+    second = editing.increment_revision(original, "fleet.ini")
     first = editing.set_value(second, "tier lookup", "deadline_s", "7")
     editing.write(fleet_file, original, first)
     with pytest.raises(RevisionError, match="changed meanwhile"):
@@ -62,15 +62,15 @@
 
 def test_edit_of_a_file_older_than_the_fleet_is_rejected(fleet_file: Path) -> None:
     original = fleet_file.read_text()
-    changed = editing.raise_revision(original, "fleet.ini")
+    changed = editing.increment_revision(original, "fleet.ini")
     with pytest.raises(RevisionError, match="pull it first"):
-        editing.write(fleet_file, original, changed, in_force=7)
+        editing.write(fleet_file, original, changed, current_revision=7)
     assert fleet_file.read_text() == original
 
 
 def test_added_organisation_has_only_the_hash_of_its_key(fleet_file: Path) -> None:
     options = ["--tiers", "lookup", "--org-key", "s3cret", "--file", str(fleet_file)]
-    result = run("org", "add", "remar", *options)
+    result = run_cli("org", "add", "remar", *options)
     assert result.exit_code == 0, result.output
     text = fleet_file.read_text()
     assert "s3cret" not in text
@@ -80,16 +80,16 @@
 def test_check_accepts_and_diff_compares_declarations(
     fleet_file: Path, tmp_path: Path
 ) -> None:
-    assert run("check", str(fleet_file)).exit_code == 0
+    assert run_cli("check", str(fleet_file)).exit_code == 0
     same_revision = tmp_path / "other.ini"
     same_revision.write_text(fleet_file.read_text().replace("slots = 8", "slots = 9"))
-    result = run("diff", str(fleet_file), str(same_revision))
+    result = run_cli("diff", str(fleet_file), str(same_revision))
     assert "+slots = 9" in result.output
     assert result.exit_code == 1
 
 
 def test_unreachable_entry_has_its_own_exit_code() -> None:
-    result = run("query", "config", "--entry", "http://127.0.0.1:1")
+    result = run_cli("query", "config", "--entry", "http://127.0.0.1:1")
     assert result.exit_code == 3
 
 
@@ -99,7 +99,7 @@
         options += ["--key", OPERATOR_KEY]
 
         def run_json(*arguments: str) -> dict[str, Any]:
-            result = run(*arguments, "--json", *options)
+            result = run_cli(*arguments, "--json", *options)
             assert result.exit_code == 0, result.output
             answer: dict[str, Any] = json.loads(result.output)
             return answer
@@ -112,7 +112,7 @@
         config = run_json("query", "config")
         assert {row["revision"] for row in config["rows"]} == {1}
         assert not config["silent"]
-        assert run("cancel", caller.rid, *options).exit_code == 0
+        assert run_cli("cancel", caller.rid, *options).exit_code == 0
         caller.end()
         assert b'"code":"operator"' in caller.data
         decisions = [row["decision"] for row in run_json("why", caller.rid)["rows"]]
@@ -124,14 +124,14 @@
         path.write_text(deployment.spec.declarations(1))
         page = tmp_path / "burn.html"
         burn = ["report", "burn", "--file", str(path), "--html", str(page)]
-        result = run(*burn, "--json", *options)
+        result = run_cli(*burn, "--json", *options)
         rows = json.loads(result.output)
         assert [(row["good"], row["total"]) for row in rows] == [(1, 1)] * 3
         assert rows[2]["covered"] < 0.1
         assert "Service-level burn" in page.read_text()
         deployment.agents["engine1"].kill()
         assert "engine1" in run_json("query", "config")["silent"]
-        wrong_key = run("query", "config", "--entry", options[1], "--key", "guess")
+        wrong_key = run_cli("query", "config", "--entry", options[1], "--key", "guess")
         assert wrong_key.exit_code == 1
-        org_key = run("query", "config", "--entry", options[1], "--key", "org-key")
+        org_key = run_cli("query", "config", "--entry", options[1], "--key", "org-key")
         assert org_key.exit_code == 1
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -9,7 +9,7 @@
 from dockreach import clock
 
 ROOT = Path(__file__).parent.parent
-STAND_INS = {"standin_platform.py", "standin_engine.py", "launching.py", "load.py"}
+EXEMPT_FILES = {"standin_platform.py", "standin_engine.py", "launching.py", "load.py"}
 """Stand-ins and measuring tools, which are not part of a daemon."""
 
 
@@ -32,5 +32,5 @@
 
 def test_daemon_code_does_not_use_the_monotonic_clock() -> None:
     paths = [*(ROOT / "dockreach").rglob("*.py"), *(ROOT / "platform").rglob("*.py")]
-    daemons = [path for path in paths if path.name not in STAND_INS | {"clock.py"}]
+    daemons = [path for path in paths if path.name not in EXEMPT_FILES | {"clock.py"}]
     assert [path.name for path in daemons if "monotonic" in code_of(path)] == []
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -5,8 +5,8 @@
 from dockreach.metrics import Metrics, Sample
 
 
-def hall_emptied(hall: str, seconds: float) -> Sample:
-    return Sample("hall_emptied_seconds", "", seconds, {"hall": hall}, counter=False)
+def evacuated_sample(hall: str, seconds: float) -> Sample:
+    return Sample("hall_emptied_seconds", "", seconds, {"hall": hall}, is_counter=False)
 
 
 def test_label_sets_without_a_sample_are_removed_from_the_page() -> None:
@@ -16,12 +16,14 @@
     evacuated, with the last sampled value of 12 s, until the entry was restarted.
     """
     metrics = Metrics("entry-1")
-    body, _ = metrics.page([hall_emptied("hall1", 10.0), hall_emptied("hall2", 12.0)])
+    body, _ = metrics.render_page(
+        [evacuated_sample("hall1", 10.0), evacuated_sample("hall2", 12.0)]
+    )
     assert b'hall="hall1"' in body
-    body, _ = metrics.page([hall_emptied("hall2", 14.0)])
+    body, _ = metrics.render_page([evacuated_sample("hall2", 14.0)])
     assert b'hall="hall1"' not in body
     assert b'hall="hall2"' in body
-    body, _ = metrics.page([])
+    body, _ = metrics.render_page([])
     assert b"hall=" not in body
 
 
@@ -30,5 +32,5 @@
     for _ in range(3):
         metrics.observe("answer_seconds", "", 0.5, {"route": "draft"})
     for _ in range(2):
-        body, _ = metrics.page([])
+        body, _ = metrics.render_page([])
         assert b'answer_seconds_count{daemon="entry-1",route="draft"} 3' in body
--- a/tests/test_query.py
+++ b/tests/test_query.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from dockreach.errors import QueryError
-from dockreach.query import Row, Select, Why, arranged, parse
+from dockreach.query import Row, Select, Why, filter_and_sort, parse
 
 ROWS: list[Row] = [
     {"request": "r1", "tier": "bulletin", "age": 2.0, "hall": "hall1", "linked": True},
@@ -34,7 +34,7 @@
 def test_queries_select_and_sort_rows(text: str, expected: list[str]) -> None:
     query = parse(text)
     assert isinstance(query, Select)
-    assert [row["request"] for row in arranged(query, ROWS)] == expected
+    assert [row["request"] for row in filter_and_sort(query, ROWS)] == expected
 
 
 def test_why_query_has_the_request_id() -> None:
--- a/tests/test_story.py
+++ b/tests/test_request_timeline.py
@@ -9,10 +9,10 @@
 
 from dockreach.cli import main
 from dockreach.events import Event
-from dockreach.story import read_lines, story
+from dockreach.request_timeline import build_timeline, parse_lines
 
 
-def line(second: float, event: Event, daemon: str = "entry-1", **fields: object) -> str:
+def log_line(second: float, event: Event, daemon: str = "entry-1", **fields: object) -> str:
     return json.dumps(
         {
             "time": f"2026-05-02 02:46:{second:06.3f}".replace(".", ","),
@@ -27,19 +27,19 @@
 
 
 LOG = [
-    line(1.0, Event.ENDPOINT_GONE, endpoint="i-9"),
-    line(4.0, Event.PEER_DOWN, peer="entry-2"),
-    line(4.1, Event.PEER_DOWN, daemon="entry-3", peer="entry-2"),
-    line(4.2, Event.ATTEMPT_ENDED, rid="other", endpoint="i-1", fate="lost"),
-    line(4.3, Event.ATTEMPT_ENDED, rid="another", endpoint="i-2", fate="lost"),
-    line(5.0, Event.ATTEMPT_ENDED, rid="r-1", endpoint="i-1", fate="lost", held_ms=400),
-    line(5.1, Event.REQUEST_LOST, rid="r-1", endpoint="i-1", held_ms=500),
-    line(6.0, Event.STOPPING),
+    log_line(1.0, Event.ENDPOINT_GONE, endpoint="i-9"),
+    log_line(4.0, Event.PEER_DOWN, peer="entry-2"),
+    log_line(4.1, Event.PEER_DOWN, daemon="entry-3", peer="entry-2"),
+    log_line(4.2, Event.ATTEMPT_ENDED, rid="other", endpoint="i-1", fate="lost"),
+    log_line(4.3, Event.ATTEMPT_ENDED, rid="another", endpoint="i-2", fate="lost"),
+    log_line(5.0, Event.ATTEMPT_ENDED, rid="r-1", endpoint="i-1", fate="lost", held_ms=400),
+    log_line(5.1, Event.REQUEST_LOST, rid="r-1", endpoint="i-1", held_ms=500),
+    log_line(6.0, Event.STOPPING),
 ]
 
 
 def test_timeline_has_own_lines_and_related_lines_of_the_same_daemon() -> None:
-    timeline = story(read_lines(LOG), "r-1")
+    timeline = build_timeline(parse_lines(LOG), "r-1")
     events = [(row.event, row.rid) for row in timeline]
     assert events == [
         (Event.PEER_DOWN, ""),
@@ -51,7 +51,7 @@
 
 def test_other_output_and_prefixes_of_lines_are_ignored() -> None:
     texts = ["Traceback (most recent call last):", "{broken", "{}", f"  5.1 front {LOG[6]}"]
-    assert [row.rid for row in read_lines(texts)] == ["r-1"]
+    assert [row.rid for row in parse_lines(texts)] == ["r-1"]
 
 
 def test_story_command_prints_the_timeline_and_fails_for_an_unknown_request(
--- a/tests/test_served_worth.py
+++ b/tests/test_service_worth.py
@@ -11,65 +11,69 @@
 from dockreach.cli import main
 from dockreach.direct.outcomes import Outcome, OutcomeCounter, OutcomeKey
 from dockreach.metrics import Metrics
-from dockreach.served_worth import Counted, Prices, by_route, total
+from dockreach.service_worth import AttemptCounts, Prices, total_worth, worth_by_route
 
 DRAFT = "draft"
 
 
-def ending(outcome: Outcome, reason: str = "", *, back: bool = False) -> OutcomeKey:
-    return OutcomeKey(DRAFT, 0, outcome, reason, back)
+def outcome_key(
+    outcome: Outcome, reason: str = "", *, is_retry: bool = False
+) -> OutcomeKey:
+    return OutcomeKey(DRAFT, 0, outcome, reason, is_retry)
 
 
-def counted() -> Counted:
-    counts = Counted()
-    counts.add(ending(Outcome.IN_TIME), 6, 0.0)
-    counts.add(ending(Outcome.LATE_GAP), 1, 0.0)
-    counts.add(ending(Outcome.REFUSED, "hopeless"), 3, 0.0)
-    counts.add(ending(Outcome.LATE_FIRST, back=True), 1, 0.0)
-    counts.add(ending(Outcome.REFUSED, "shed", back=True), 2, 3.0)
+def sample_counts() -> AttemptCounts:
+    counts = AttemptCounts()
+    counts.add(outcome_key(Outcome.IN_TIME), 6, 0.0)
+    counts.add(outcome_key(Outcome.LATE_GAP), 1, 0.0)
+    counts.add(outcome_key(Outcome.REFUSED, "hopeless"), 3, 0.0)
+    counts.add(outcome_key(Outcome.LATE_FIRST, is_retry=True), 1, 0.0)
+    counts.add(outcome_key(Outcome.REFUSED, "shed", is_retry=True), 2, 3.0)
     return counts
 
 
 def test_worth_is_counted_from_the_first_attempt() -> None:
-    (row,) = by_route(counted())
+    (row,) = worth_by_route(sample_counts())
     assert (row.owed, row.returned) == (10, 3)
     prices = Prices(late_part=0.1, held=0.1, again=0.3)
     assert row.worth(prices) == pytest.approx((6 + 0.2 - 0.3 - 0.6) / 10)
-    assert 1 - sum(row.lost(prices).values()) == pytest.approx(row.worth(prices))
+    assert 1 - sum(row.losses(prices).values()) == pytest.approx(row.worth(prices))
 
 
 def test_refusal_before_a_successful_retry_does_not_change_the_worth() -> None:
-    only_late = Counted()
-    only_late.add(ending(Outcome.LATE_FIRST), 1, 0.0)
-    retried = Counted()
-    retried.add(ending(Outcome.REFUSED, "hopeless"), 1, 0.0)
-    retried.add(ending(Outcome.LATE_FIRST, back=True), 1, 0.0)
-    first, second = (total(by_route(counts), Prices()) for counts in (only_late, retried))
+    only_late = AttemptCounts()
+    only_late.add(outcome_key(Outcome.LATE_FIRST), 1, 0.0)
+    retried = AttemptCounts()
+    retried.add(outcome_key(Outcome.REFUSED, "hopeless"), 1, 0.0)
+    retried.add(outcome_key(Outcome.LATE_FIRST, is_retry=True), 1, 0.0)
+    first, second = (
+        total_worth(worth_by_route(counts), Prices()) for counts in (only_late, retried)
+    )
     assert first == second
 
 
 def test_attempts_ended_by_the_caller_do_not_count() -> None:
-    counts = Counted()
-    counts.add(ending(Outcome.REFUSED, "bad_key"), 5, 0.0)
-    counts.add(ending(Outcome.LEFT), 5, 0.0)
-    counts.add(ending(Outcome.IN_TIME), 1, 0.0)
-    assert total(by_route(counts), Prices()) == 1.0
+    counts = AttemptCounts()
+    counts.add(outcome_key(Outcome.REFUSED, "bad_key"), 5, 0.0)
+    counts.add(outcome_key(Outcome.LEFT), 5, 0.0)
+    counts.add(outcome_key(Outcome.IN_TIME), 1, 0.0)
+    assert total_worth(worth_by_route(counts), Prices()) == 1.0
 
 
 def test_worth_is_weighted_by_tier() -> None:
-    counts = counted()
+    counts = sample_counts()
     counts.add(OutcomeKey("chat", 2, Outcome.IN_TIME, "", False), 10, 0.0)
-    low = total(by_route(counts), Prices(tiers={2: 0.1}))
-    assert low < total(by_route(counts), Prices())
+    low = total_worth(worth_by_route(counts), Prices(tiers={2: 0.1}))
+    assert low < total_worth(worth_by_route(counts), Prices())
 
 
 def metrics_page(path: Path) -> Path:
     counter = OutcomeCounter()
     for _ in range(3):
-        counter.record(ending(Outcome.IN_TIME), 0.0)
-    counter.record(ending(Outcome.REFUSED, "shed"), 1.5)
+        counter.record(outcome_key(Outcome.IN_TIME), 0.0)
+    counter.record(outcome_key(Outcome.REFUSED, "shed"), 1.5)
     metrics = Metrics("entry-1")
-    path.write_bytes(metrics.page(counter.samples())[0])
+    path.write_bytes(metrics.render_page(counter.samples())[0])
     return path
 
 
@@ -93,7 +97,7 @@
     return json.dumps(line) + "\n"
 
 
-def report(*args: str | Path) -> tuple[int, dict[str, object], str]:
+def run_report(*args: str | Path) -> tuple[int, dict[str, object], str]:
     result = CliRunner().invoke(main, ["report", "worth", "--json", *map(str, args)])
     values = json.loads(result.stdout) if result.stdout else {}
     return result.exit_code, values, result.stderr
@@ -105,8 +109,8 @@
     lines = [log_line(outcome="in_time")] * 3
     lines.append(log_line(outcome="refused", reason="shed", held_ms=1500))
     log.write_text("".join(lines))
-    from_page = report(page)
-    from_log = report(log)
+    from_page = run_report(page)
+    from_log = run_report(log)
     assert from_page == from_log
     assert from_page[0] == 0
     assert from_page[1]["worth"] == pytest.approx((3 - 0.15) / 4)
@@ -119,7 +123,7 @@
     left_out = log_line(outcome="in_time", left_out=7)
     unknown = log_line(outcome="outcome_of_a_later_version")
     log.write_text(left_out + truncated + unknown)
-    code, values, messages = report(log)
+    code, values, messages = run_report(log)
     assert code == 0
     assert values["partial"] is True
     assert values["left_out"] == 7
@@ -130,7 +134,7 @@
 def test_files_without_attempts_are_rejected(tmp_path: Path) -> None:
     empty = tmp_path / "empty"
     empty.write_text("")
-    code, values, messages = report(empty)
+    code, values, messages = run_report(empty)
     assert code == 1
     assert values["partial"] is True
     assert "no attempts found" in messages
@@ -150,7 +154,7 @@
 ) -> None:
     prices = tmp_path / "prices.ini"
     prices.write_text(text)
-    code, _, messages = report(metrics_page(tmp_path / "page"), "--prices", prices)
+    code, _, messages = run_report(metrics_page(tmp_path / "page"), "--prices", prices)
     assert code == 1
     assert "prices.ini" in messages
     assert problem in messages
@@ -160,6 +164,6 @@
     out = tmp_path / "worth.html"
     log = tmp_path / "entry-1.log"
     log.write_text(log_line(outcome="in_time", left_out=7))
-    report(log, "--html", out)
+    run_report(log, "--html", out)
     assert "Partial" in out.read_text()
     assert "<svg" in out.read_text()
