--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -23,6 +23,7 @@
     PeerUp,
 )
 from dockreach.capacity import EngineModel  # noqa: E402
+from dockreach.config_store import ConfigStore  # noqa: E402
 from dockreach.declarations import Declarations, content_hash, parse  # noqa: E402
 from dockreach.entry_tables import Admit, AgentUp, Configured, EntryWorld  # noqa: E402
 from dockreach.launching import (  # noqa: E402
@@ -36,7 +37,6 @@
 from dockreach.limits import LimitTable  # noqa: E402
 from dockreach.messages import ClaimState, Hold, Withdraw, encode  # noqa: E402
 from dockreach.prefix import PrefixIndex  # noqa: E402
-from dockreach.spreading import ConfigStore  # noqa: E402
 
 RESULTS = Path("docs/results")
 IDLE_S = 8.0
@@ -157,7 +157,7 @@
     model = EngineModel(8, 4000.0, 0.02, 0.039)
     world = AgentWorld("w0", 1, model, PrefixIndex(1000), AgentPolicy(queue_limit=10**6))
     model.window = 0.0
-    model.adjusted = 1e9
+    model.adjusted_at = 1e9
     inbox: list[tuple[str, object]] = [("n0", PeerUp("entry", 1))]
     inbox += [("n0", _hold(index, organisations)) for index in range(holds)]
     agent.tick(world, inbox, 0.1)
@@ -228,9 +228,9 @@
     content_hash(body)
     millis = 1000 * (time.perf_counter() - start)
     store = ConfigStore()
-    store.offer(body, "a")
+    store.accept(body, "a")
     changed = spec.declarations(2).replace("gap_ms=20.0", "gap_ms=21.0", 1)
-    store.offer(changed, "a")
+    store.accept(changed, "a")
     delta = store.on_ask(1)
     return millis, len(body), len(encode([delta])) if delta else 0
 
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -31,13 +31,13 @@
     Edit(
         "a grant expires with its lease",
         "running.py",
-        "    if grant.expires <= world.now:\n        return Reason.GRANT_VOID\n",
+        "    if grant.expires_at <= world.now:\n        return Reason.GRANT_VOID\n",
         "",
     ),
     Edit(
         "a lost link is no proof that a request did not run",
         "membership.py",
-        "            make_unclear(world, req)\n",
+        "            mark_unclear(world, req)\n",
         "            from .commitment import place_again\n"
         "            from .verdict import Reason\n"
         "            place_again(world, req, Reason.FENCED)\n",
@@ -46,7 +46,7 @@
         "a restarted agent does not answer for its previous incarnation",
         "running.py",
         "    if message.incarnation != world.incarnation:\n"
-        "        _restarted(world, message.rid, peer, message.from_chunk)\n"
+        "        _look_up_earlier_run(world, message.rid, peer, message.from_chunk)\n"
         "        return\n",
         "",
     ),
@@ -59,7 +59,7 @@
     Edit(
         "a restarted owner first rebuilds its claims from its peers",
         "claims.py",
-        "    if not _rebuilt(world):\n"
+        "    if not _is_rebuilt(world):\n"
         "        world.deferred_claims.append((peer, message))\n"
         "        return\n",
         "",
@@ -67,10 +67,10 @@
     Edit(
         "chunks are sent in order",
         "running.py",
-        "    run.ahead[chunk.number] = chunk\n"
-        "    while (chunk_next := run.ahead.pop(run.next_chunk, None)) is not None:\n"
-        "        _keep(world, run, chunk_next)",
-        "    _keep(world, run, chunk)",
+        "    run.out_of_order[chunk.number] = chunk\n"
+        "    while (chunk_next := run.out_of_order.pop(run.next_chunk, None)) is not None:\n"
+        "        _store_chunk(world, run, chunk_next)",
+        "    _store_chunk(world, run, chunk)",
     ),
     Edit(
         "a response with missing chunks is not complete",
@@ -105,18 +105,19 @@
     Edit(
         "a new incarnation uses no share while old loans may be active",
         "limits.py",
-        "if share is None or now < self.started + self.quiet_s:\n            return 0.0",
+        "if share is None or now < self.started + self.old_loans_s:\n"
+        "            return 0.0",
         "if share is None:\n            return 0.0",
     ),
     Edit(
         "a revision never decreases",
-        "spreading.py",
+        "config_store.py",
         "        if revision < self.revision:",
         "        if False:",
     ),
     Edit(
         "two different bodies with one revision are refused",
-        "spreading.py",
+        "config_store.py",
         "            if digest == self.digest:\n                return None\n",
         "            return None\n",
     ),
--- a/dockreach/_green.py
+++ b/dockreach/_green.py
@@ -48,7 +48,7 @@
     eventlet.sleep(seconds)
 
 
-def run(awaitable: Awaitable[_Result]) -> _Result:
+def run_coroutine(awaitable: Awaitable[_Result]) -> _Result:
     """Run a coroutine from a greenlet and return its result."""
     from eventlet.asyncio import spawn_for_awaitable  # noqa: PLC0415
 
@@ -56,7 +56,7 @@
     return result
 
 
-def start(awaitable: Awaitable[Any]) -> None:
+def start_coroutine(awaitable: Awaitable[Any]) -> None:
     """Start a coroutine from a greenlet and do not wait for it."""
     from eventlet.asyncio import spawn_for_awaitable  # noqa: PLC0415
 
--- a/dockreach/agent.py
+++ b/dockreach/agent.py
@@ -31,39 +31,39 @@
     actions: list[EngineAction]
 
 
-def forget(world: AgentWorld) -> None:
+def expire_rows(world: AgentWorld) -> None:
     """System: delete rows whose retention time is over."""
-    while world.forget and world.forget[0][0] <= world.now:
-        _, table, key = heapq.heappop(world.forget)
+    while world.expiry_queue and world.expiry_queue[0][0] <= world.now:
+        _, table, key = heapq.heappop(world.expiry_queue)
         if table == "runs":
-            running.forget_run(world, key)
+            running.remove_run(world, key)
         elif table == "claims":
-            _forget_claim(world, key)
+            _expire_claim(world, key)
         else:
             world.fences.pop(key, None)
 
 
-def _forget_claim(world: AgentWorld, rid: str) -> None:
+def _expire_claim(world: AgentWorld, rid: str) -> None:
     row = world.claims.get(rid)
     if row is None:
         return
-    if row.touched + world.policy.retention_s > world.now:
-        world.remember_until("claims", rid)
+    if row.last_used_at + world.policy.retention_s > world.now:
+        world.schedule_expiry("claims", rid)
         return
     del world.claims[rid]
 
 
 SYSTEMS: tuple[System, ...] = (
     granting.expire_grants,
-    granting.close,
+    granting.displace_when_closed,
     granting.resume_paused,
     claims.finish_rebuild,
-    granting.grant,
-    granting.offer,
-    running.expire_orphans,
-    running.bound_answers,
-    running.deliver,
-    forget,
+    granting.grant_holds,
+    granting.send_offers,
+    running.cancel_orphans,
+    running.limit_answer_memory,
+    running.deliver_chunks,
+    expire_rows,
 )
 """The agent's systems, in the order in which a tick runs them."""
 
@@ -83,7 +83,7 @@
     for peer, message in inbox:
         receive(message, world, peer)
         if isinstance(message, PeerUp):
-            claims.note_entry(world, peer, message)
+            claims.handle_entry_up(world, peer, message)
     for system in SYSTEMS:
         system(world)
     output = AgentOutput(world.outbox, world.actions)
@@ -94,11 +94,11 @@
 
 def next_wake(world: AgentWorld) -> float | None:
     """Return when the next tick is due if no message arrives; ``None`` for never."""
-    times = [row.expires for row in world.grants.values()]
-    if world.paused:
-        times.append(world.paused[0][0])
-    if world.forget:
-        times.append(world.forget[0][0])
+    times = [row.expires_at for row in world.grants.values()]
+    if world.paused_holds:
+        times.append(world.paused_holds[0][0])
+    if world.expiry_queue:
+        times.append(world.expiry_queue[0][0])
     if world.model.runs or len(world.queue):
         times.append(world.now + 0.25)
     return min(times, default=None)
--- a/dockreach/agent_tables.py
+++ b/dockreach/agent_tables.py
@@ -30,27 +30,27 @@
         grant_lease_s: How long a grant is valid.
         queue_limit: Maximum number of queued holds; beyond it the newest hold of the
             lowest tier is displaced.
-        short_cost: Maximum cost of a short request; see `Hold.cost`.
+        max_short_cost: Maximum cost of a short request; see `Hold.cost`.
         retention_s: How long ended runs, claims and fences are kept.
-        answer_bytes: Memory for stored answers; those that ended first are dropped first.
-        reader_window: Bytes sent to an entry beyond those that it has acknowledged.
-        strict_dispatch_s: Maximum time from commit to dispatch; a later run is not
+        max_answer_bytes: Memory for stored answers; those that ended first are dropped first.
+        reader_window_bytes: Bytes sent to an entry beyond those that it has acknowledged.
+        max_dispatch_delay_s: Maximum time from commit to dispatch; a later run is not
             dispatched.
         decline_pause_s: Delay before a declined hold is queued again; it doubles with
             each decline.
-        orphan_s: Minimum time that a run without readers continues; it is not cancelled
+        orphan_timeout_s: Minimum time that a run without readers continues; it is not cancelled
             before its deadline either.
     """
 
     grant_lease_s: float = 1.0
     queue_limit: int = 2000
-    short_cost: float = 160.0
+    max_short_cost: float = 160.0
     retention_s: float = 600.0
-    answer_bytes: int = 8 << 20
-    reader_window: int = 256 << 10
-    strict_dispatch_s: float = 2.0
+    max_answer_bytes: int = 8 << 20
+    reader_window_bytes: int = 256 << 10
+    max_dispatch_delay_s: float = 2.0
     decline_pause_s: float = 0.05
-    orphan_s: float = 30.0
+    orphan_timeout_s: float = 30.0
 
 
 @dataclass(slots=True)
@@ -59,7 +59,7 @@
 
     hold: Hold
     number: int
-    expires: float
+    expires_at: float
     cached_tokens: int
 
 
@@ -70,12 +70,12 @@
     Attributes:
         sent: Number of the next chunk to send.
         acked: Number up to which, exclusive, the entry has acknowledged the chunks.
-        told_end: Whether the end of the run was sent.
+        end_sent: Whether the end of the run was sent.
     """
 
     sent: int = 0
     acked: int = 0
-    told_end: bool = False
+    end_sent: bool = False
 
 
 @dataclass(slots=True)
@@ -85,28 +85,28 @@
     Attributes:
         chunks: Stored chunks of the answer; the first one has number `first_kept`.
         kept_bytes: Size of the stored chunks.
-        ahead: Chunks received out of order, by number.
-        orphaned: When the last reader was lost; ``None`` while there is one.
+        out_of_order: Chunks received out of order, by number.
+        orphaned_at: When the last reader was lost; ``None`` while there is one.
     """
 
     rid: str
     number: int
-    accepted: float
+    accepted_at: float
     deadline: float
     hold: Hold
     cached_tokens: int
     chunks: deque[Chunk] = field(default_factory=deque)
-    base: int = 0
+    first_kept: int = 0
     kept_bytes: int = 0
-    ahead: dict[int, Chunk] = field(default_factory=dict)
+    out_of_order: dict[int, Chunk] = field(default_factory=dict)
     end: Ended | None = None
     readers: dict[str, Reader] = field(default_factory=dict)
-    orphaned: float | None = None
+    orphaned_at: float | None = None
 
     @property
     def next_chunk(self) -> int:
         """Return the number of the next chunk expected from the engine."""
-        return self.base + len(self.chunks)
+        return self.first_kept + len(self.chunks)
 
 
 @dataclass(slots=True)
@@ -117,16 +117,16 @@
         state: The current claim, and the agent bound to the key, if any.
         entry: The entry that made the claim; empty if it was rebuilt from a peer.
         ran: Whether the bound agent itself reported that it ran the request.
-        others: Further agents that entries committed the request to, known from a
+        other_bindings: Further agents that entries committed the request to, known from a
             rebuild; each must be refuted (proved not to have run the request) before
             the key is free again.
     """
 
     state: ClaimState
     entry: str
-    touched: float
+    last_used_at: float
     ran: bool = False
-    others: list[ClaimState] = field(default_factory=list)
+    other_bindings: list[ClaimState] = field(default_factory=list)
 
 
 @dataclass(slots=True)
@@ -134,15 +134,15 @@
     """Progress of a restarted key owner that asks its peers for its claims.
 
     Attributes:
-        waiting: Entries that have not answered completely.
+        pending: Entries that have not answered completely.
         silent: Agents that an entry could not ask.
-        young_entries: Whether an entry started less than the retention time ago.
+        has_recent_entries: Whether an entry started less than the retention time ago.
         done: Whether all linked entries have answered.
     """
 
-    waiting: set[str]
+    pending: set[str]
     silent: set[str] = field(default_factory=set)
-    young_entries: bool = False
+    has_recent_entries: bool = False
     done: bool = False
 
 
@@ -271,16 +271,16 @@
 
     Attributes:
         holds: Holds by request id, queued, paused or granted.
-        last_seen: When the last hold of each tier and lane was received.
-        unanswered: New holds whose entry has neither an offer nor a grant yet.
-        paused: Declined holds that wait to be queued again, ordered by time (a heap).
+        last_hold_at: When the last hold of each tier and lane was received.
+        awaiting_offer: New holds whose entry has neither an offer nor a grant yet.
+        paused_holds: Declined holds that wait to be queued again, ordered by time (a heap).
         fences: The highest fenced grant number of each request; no grant up to it runs.
-        forget: Rows to delete, as expiry time, table and key (a heap).
-        ended_order: Ids of the ended runs, the oldest first.
-        fresh: Ids of the runs that have something to deliver.
+        expiry_queue: Rows to delete, as expiry time, table and key (a heap).
+        ended_runs: Ids of the ended runs, the oldest first.
+        updated_runs: Ids of the runs that have something to deliver.
         entries: Incarnation of each entry that has linked.
         floor_tier: Lowest tier accepted until `floor_until`; ``None`` for all.
-        floor_by: The peer that sent the floor.
+        floor_sender: The peer that sent the floor.
     """
 
     name: str
@@ -293,22 +293,22 @@
     leaving: bool = False
     drained: bool = False
     unreachable: bool = False
-    busy_until: float = 0.0
-    busy_s: float = 0.0
-    drain: DrainRate = field(default_factory=DrainRate)
+    backoff_until: float = 0.0
+    backoff_s: float = 0.0
+    drain_rate: DrainRate = field(default_factory=DrainRate)
     holds: dict[str, Hold] = field(default_factory=dict)
     queue: HoldQueue = field(default_factory=HoldQueue)
-    last_seen: dict[tuple[int, Lane], float] = field(default_factory=dict)
-    unanswered: list[Hold] = field(default_factory=list)
-    paused: list[tuple[float, str]] = field(default_factory=list)
+    last_hold_at: dict[tuple[int, Lane], float] = field(default_factory=dict)
+    awaiting_offer: list[Hold] = field(default_factory=list)
+    paused_holds: list[tuple[float, str]] = field(default_factory=list)
     grants: dict[str, GrantRow] = field(default_factory=dict)
     grant_number: int = 0
     runs: dict[str, RunRow] = field(default_factory=dict)
     fences: dict[str, int] = field(default_factory=dict)
-    forget: list[tuple[float, str, str]] = field(default_factory=list)
+    expiry_queue: list[tuple[float, str, str]] = field(default_factory=list)
     kept_bytes: int = 0
-    ended_order: deque[str] = field(default_factory=deque)
-    fresh: set[str] = field(default_factory=set)
+    ended_runs: deque[str] = field(default_factory=deque)
+    updated_runs: set[str] = field(default_factory=set)
     entries: dict[str, int] = field(default_factory=dict)
     claims: dict[str, ClaimRow] = field(default_factory=dict)
     claim_number: int = 0
@@ -316,7 +316,7 @@
     deferred_claims: list[tuple[str, AnyMessage]] = field(default_factory=list)
     floor_tier: int | None = None
     floor_until: float = 0.0
-    floor_by: str = ""
+    floor_sender: str = ""
     counters: AgentCounters = field(default_factory=AgentCounters)
     outbox: list[tuple[str, AnyMessage]] = field(default_factory=list)
     actions: list[EngineAction] = field(default_factory=list)
@@ -325,15 +325,15 @@
         """Queue a message for a peer; it is sent at the end of the tick."""
         self.outbox.append((peer, message))
 
-    def remember_until(self, table: str, key: str) -> None:
+    def schedule_expiry(self, table: str, key: str) -> None:
         """Schedule a row for deletion after the retention time."""
-        heapq.heappush(self.forget, (self.now + self.policy.retention_s, table, key))
+        heapq.heappush(self.expiry_queue, (self.now + self.policy.retention_s, table, key))
 
     def fence(self, rid: str, number: int) -> None:
         """Fence a request: no grant of it with a number up to `number` may ever run."""
         if number > self.fences.get(rid, -1):
             self.fences[rid] = number
-            self.remember_until("fences", rid)
+            self.schedule_expiry("fences", rid)
 
     @property
     def closed(self) -> bool:
@@ -341,7 +341,7 @@
         return self.leaving or self.drained or self.unreachable
 
     @property
-    def active(self) -> int:
+    def slots_in_use(self) -> int:
         """Return the number of slots in use by dispatched runs and outstanding grants."""
         return len(self.model.runs) + len(self.grants)
 
--- a/dockreach/callers.py
+++ b/dockreach/caller_api.py
@@ -9,26 +9,26 @@
 
 from ._responses import JSON_TYPE, StartResponse, send_refusal
 from .entry_tables import Admit
-from .exchange import Exchange
-from .intake import (
+from .request_parsing import (
     COMPLETION_PATHS,
     SERVICE_PREFIX,
-    CallerRequest,
-    identify,
-    read,
-    refuse,
+    InboundRequest,
+    authenticate,
+    not_run_refusal,
+    parse_request,
 )
+from .response_delivery import ResponseDelivery
 from .verdict import Reason, Refusal
 
 if TYPE_CHECKING:
     from .entry_node import EntryNode
 
-SOCKET_KEY = "dockreach.socket"
+SOCKET_ENVIRON_KEY = "dockreach.socket"
 
 Environ = dict[str, Any]
 
 
-def caller_request(environ: Environ, body: bytes) -> CallerRequest:
+def to_inbound_request(environ: Environ, body: bytes) -> InboundRequest:
     """Convert a WSGI environment and a body to a request."""
     headers = {
         key[5:].replace("_", "-").lower(): value
@@ -37,7 +37,7 @@
     }
     if environ.get("CONTENT_TYPE"):
         headers["content-type"] = environ["CONTENT_TYPE"]
-    return CallerRequest(
+    return InboundRequest(
         method=environ["REQUEST_METHOD"],
         path=environ.get("PATH_INFO", "/"),
         query=environ.get("QUERY_STRING", ""),
@@ -50,15 +50,19 @@
     """Read a request's body, up to `limit` bytes and within the socket's timeout."""
     length = environ.get("CONTENT_LENGTH") or ""
     if length and (not length.isdigit() or int(length) > limit):
-        return refuse(Reason.TOO_LARGE, f"the body is larger than {limit} bytes")
+        return not_run_refusal(Reason.TOO_LARGE, f"the body is larger than {limit} bytes")
     try:
         body: bytes = environ["wsgi.input"].read(limit + 1)
     except (TimeoutError, OSError, ValueError):
-        return refuse(Reason.BAD_REQUEST, "the body was cut off or not received in time")
+        return not_run_refusal(
+            Reason.BAD_REQUEST, "the body was cut off or not received in time"
+        )
     if len(body) > limit:
-        return refuse(Reason.TOO_LARGE, f"the body is larger than {limit} bytes")
+        return not_run_refusal(Reason.TOO_LARGE, f"the body is larger than {limit} bytes")
     if length and len(body) < int(length):
-        return refuse(Reason.BAD_REQUEST, "the body is shorter than its Content-Length")
+        return not_run_refusal(
+            Reason.BAD_REQUEST, "the body is shorter than its Content-Length"
+        )
     return body
 
 
@@ -79,17 +83,19 @@
         if page is not None:
             return page(environ, start)
         if path == "/v1/models":
-            return self._models(environ, start)
+            return self._serve_models(environ, start)
         if path in COMPLETION_PATHS or path.startswith(SERVICE_PREFIX):
-            return self._serve(environ, start)
-        refusal = refuse(Reason.UNKNOWN_SERVICE, f"there is no service at {path!r}")
+            return self._serve_request(environ, start)
+        refusal = not_run_refusal(
+            Reason.UNKNOWN_SERVICE, f"there is no service at {path!r}"
+        )
         return send_refusal(start, refusal, "")
 
-    def _models(self, environ: Environ, start: StartResponse) -> Iterator[bytes]:
+    def _serve_models(self, environ: Environ, start: StartResponse) -> Iterator[bytes]:
         declarations = self._node.config.declarations
         if declarations is None:
-            return send_refusal(start, refuse(Reason.NOT_READY, "", 1.0), "")
-        caller = identify(caller_request(environ, b""), declarations)
+            return send_refusal(start, not_run_refusal(Reason.NOT_READY, "", 1.0), "")
+        caller = authenticate(to_inbound_request(environ, b""), declarations)
         if isinstance(caller, Refusal):
             return send_refusal(start, caller, "")
         data = [{"id": name, "object": "model"} for name in declarations.models]
@@ -97,7 +103,7 @@
         start("200 OK", [("Content-Type", JSON_TYPE)])
         return iter((body,))
 
-    def _serve(self, environ: Environ, start: StartResponse) -> Iterator[bytes]:
+    def _serve_request(self, environ: Environ, start: StartResponse) -> Iterator[bytes]:
         node = self._node
         declarations = node.config.declarations
         body = read_body(environ, node.settings.limits.body_bytes)
@@ -105,16 +111,18 @@
             return send_refusal(start, body, "", close=True)
         if declarations is None or not node.is_ready():
             reason = Reason.STOPPING if node.leaving else Reason.NOT_READY
-            return send_refusal(start, refuse(reason, "", 1.0), "")
-        message = read(caller_request(environ, body), declarations)
+            return send_refusal(start, not_run_refusal(reason, "", 1.0), "")
+        message = parse_request(to_inbound_request(environ, body), declarations)
         if isinstance(message, Refusal):
             return send_refusal(start, message, "")
-        refusal = node.limit(message)
+        refusal = node.check_limits(message)
         if refusal is not None:
             return send_refusal(start, refusal, message.rid)
         waiter = node.submit(message)
         if isinstance(waiter, Refusal):
             return send_refusal(start, waiter, message.rid)
         repeatable = not isinstance(message, Admit) or message.repeatable
-        delivery = Exchange(node, waiter, environ.get(SOCKET_KEY), repeatable=repeatable)
-        return delivery.respond(start, whole=not message.stream)
+        delivery = ResponseDelivery(
+            node, waiter, environ.get(SOCKET_ENVIRON_KEY), repeatable=repeatable
+        )
+        return delivery.respond(start, is_buffered=not message.stream)
--- a/dockreach/capacity.py
+++ b/dockreach/capacity.py
@@ -11,16 +11,16 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-GAIN = 0.2
+SMOOTHING_FACTOR = 0.2
 """Weight of a new sample in an exponentially weighted mean."""
 
-SLOW_FACTOR = 1.5
+SLOW_GAP_FACTOR = 1.5
 """Multiple of the objective gap above which the window shrinks."""
 
-SHRINK = 0.7
+WINDOW_SHRINK_FACTOR = 0.7
 """Factor by which the window shrinks."""
 
-ADJUST_EVERY_S = 1.0
+ADJUST_INTERVAL_S = 1.0
 SUSPECT_AFTER_S = 0.75
 """Minimum time without progress after which a busy engine gets no grants."""
 
@@ -31,13 +31,13 @@
 RESERVE_FRACTION = 0.2
 """Fraction of the window reserved for short requests, and again for higher tiers."""
 
-RESERVE_FROM_SLOTS = 4
+MIN_SLOTS_TO_RESERVE = 4
 """Minimum slots and window size with which slots are reserved."""
 
-SAFETY = 1.1
+ESTIMATE_SAFETY_FACTOR = 1.1
 """Safety factor on an estimate, already scaled by past lateness, before rejecting early."""
 
-LATENESS_CAP = 4.0
+MAX_LATENESS = 4.0
 DEGRADED_FACTOR = 3.0
 """An idle engine is probed if it is slower than declared by this factor."""
 
@@ -50,26 +50,26 @@
     """
 
     def __init__(self) -> None:
-        self._served: dict[int, deque[float]] = {}
-        self._since: dict[int, float] = {}
+        self._served_at: dict[int, deque[float]] = {}
+        self._queued_since: dict[int, float] = {}
 
-    def served(self, tier: int, now: float) -> None:
+    def record_served(self, tier: int, now: float) -> None:
         """Record that a hold of a tier was committed, here or at another agent."""
-        self._served.setdefault(tier, deque(maxlen=DRAIN_SAMPLES)).append(now)
+        self._served_at.setdefault(tier, deque(maxlen=MAX_DRAIN_SAMPLES)).append(now)
 
-    def waiting(self, tier: int, count: int, now: float) -> None:
+    def record_waiting(self, tier: int, count: int, now: float) -> None:
         """Record the number of queued holds of a tier, and since when there are any."""
         if count == 0:
-            self._since.pop(tier, None)
+            self._queued_since.pop(tier, None)
         else:
-            self._since.setdefault(tier, now)
+            self._queued_since.setdefault(tier, now)
 
     def wait_s(self, tier: int, count: int, now: float) -> float:
         """Return the expected wait behind `count` holds of a tier; 0 if unknown."""
-        since = self._since.get(tier)
+        since = self._queued_since.get(tier)
         if since is None or now - since < DRAIN_WINDOW_S:
             return 0.0
-        served = self._served.get(tier, ())
+        served = self._served_at.get(tier, ())
         recent = sum(at > now - DRAIN_WINDOW_S for at in served)
         return count * DRAIN_WINDOW_S / max(recent, 0.5)
 
@@ -77,11 +77,11 @@
 DRAIN_WINDOW_S = 4.0
 """Period over which the drain rate is measured."""
 
-DRAIN_SAMPLES = 4096
+MAX_DRAIN_SAMPLES = 4096
 
 
 @dataclass(slots=True)
-class Progress:
+class RunProgress:
     """Progress of one run. Times in seconds.
 
     Attributes:
@@ -89,12 +89,12 @@
         estimate_s: Estimated duration at its start.
     """
 
-    started: float
+    started_at: float
     uncached_tokens: int
     output_tokens: int
     backlog_tokens: int
-    first_token: float | None = None
-    last_token: float = 0.0
+    first_token_at: float | None = None
+    last_token_at: float = 0.0
     tokens: int = 0
     estimate_s: float = 0.0
 
@@ -112,7 +112,7 @@
         output_ratio: Mean ratio of generated tokens to those expected.
         lateness: Mean ratio of a run's duration to its estimate.
         service_s: Mean duration of a run.
-        backlog: Prompt tokens dispatched and not yet prefilled.
+        backlog_tokens: Prompt tokens dispatched and not yet prefilled.
     """
 
     slots: int
@@ -125,10 +125,10 @@
     output_ratio: float = 1.0
     lateness: float = 1.0
     service_s: float = 0.5
-    runs: dict[str, Progress] = field(default_factory=dict)
-    last_progress: float = 0.0
-    adjusted: float = 0.0
-    backlog: int = 0
+    runs: dict[str, RunProgress] = field(default_factory=dict)
+    last_progress_at: float = 0.0
+    adjusted_at: float = 0.0
+    backlog_tokens: int = 0
 
     def __post_init__(self) -> None:
         """Start from the declared figures."""
@@ -138,7 +138,7 @@
 
     def prefill_s(self, uncached_tokens: int) -> float:
         """Return the expected time to the first token, after the prefill backlog."""
-        return (self.backlog + uncached_tokens) / self.prefill_rate
+        return (self.backlog_tokens + uncached_tokens) / self.prefill_rate
 
     def decode_s(self, output_tokens: int) -> float:
         """Return the expected time to generate an answer."""
@@ -149,89 +149,95 @@
         queued = max(0, ahead + 1 - free)
         return queued * self.service_s / max(1.0, self.window)
 
-    def reserve(self) -> int:
+    def reserved_slots(self) -> int:
         """Return the number of slots reserved for one kind of request."""
-        if self.slots < RESERVE_FROM_SLOTS or self.window < RESERVE_FROM_SLOTS:
+        if self.slots < MIN_SLOTS_TO_RESERVE or self.window < MIN_SLOTS_TO_RESERVE:
             return 0
         return max(1, int(self.window * RESERVE_FRACTION))
 
-    def start(self, rid: str, uncached_tokens: int, output_tokens: int, now: float) -> None:
+    def record_start(
+        self, rid: str, uncached_tokens: int, output_tokens: int, now: float
+    ) -> None:
         """Record a dispatch."""
         if not self.runs:
-            self.last_progress = now
+            self.last_progress_at = now
         estimate_s = self.prefill_s(uncached_tokens) + self.decode_s(output_tokens)
-        self.backlog += uncached_tokens
-        run = Progress(now, uncached_tokens, output_tokens, self.backlog)
+        self.backlog_tokens += uncached_tokens
+        run = RunProgress(now, uncached_tokens, output_tokens, self.backlog_tokens)
         run.estimate_s = estimate_s
         self.runs[rid] = run
 
-    def progress(self, rid: str, tokens: int, now: float) -> None:
+    def record_tokens(self, rid: str, tokens: int, now: float) -> None:
         """Record tokens received from the engine."""
-        self.last_progress = now
+        self.last_progress_at = now
         run = self.runs.get(rid)
         if run is None:
             return
-        if run.first_token is None:
-            self._first_token(run, now)
+        if run.first_token_at is None:
+            self._record_first_token(run, now)
         elif tokens > 0:
-            sample = (now - run.last_token) / tokens
-            self.gap += GAIN * (sample - self.gap)
-        run.last_token = now
+            sample = (now - run.last_token_at) / tokens
+            self.gap += SMOOTHING_FACTOR * (sample - self.gap)
+        run.last_token_at = now
         run.tokens += tokens
 
-    def finish(self, rid: str, now: float, *, whole: bool) -> None:
+    def record_end(self, rid: str, now: float, *, whole: bool) -> None:
         """Record the end of a run."""
-        self.last_progress = now
+        self.last_progress_at = now
         run = self.runs.pop(rid, None)
         if run is None:
             return
-        if run.first_token is None:
-            self.backlog -= run.uncached_tokens
+        if run.first_token_at is None:
+            self.backlog_tokens -= run.uncached_tokens
         elif whole and run.output_tokens > 0 and run.tokens > 1:
             ratio = min(1.0, run.tokens / run.output_tokens)
-            self.output_ratio += GAIN * (ratio - self.output_ratio)
+            self.output_ratio += SMOOTHING_FACTOR * (ratio - self.output_ratio)
         if whole:
-            self._learn_lateness(run, now)
-            self.service_s += GAIN * (now - run.started - self.service_s)
+            self._update_lateness(run, now)
+            self.service_s += SMOOTHING_FACTOR * (now - run.started_at - self.service_s)
 
-    def suspect(self, now: float) -> bool:
+    def is_suspect(self, now: float) -> bool:
         """Return whether a busy engine has made no progress for too long."""
         if not self.runs:
             return False
-        expected_s = max(self.gap, self.backlog / self.prefill_rate)
+        expected_s = max(self.gap, self.backlog_tokens / self.prefill_rate)
         limit_s = max(SUSPECT_AFTER_S, SUSPECT_FACTOR * expected_s)
-        return now - self.last_progress > limit_s
+        return now - self.last_progress_at > limit_s
 
-    def degraded(self) -> bool:
+    def is_degraded(self) -> bool:
         """Return whether the engine is much slower than declared."""
         slow_decode = self.gap > DEGRADED_FACTOR * self.declared_gap
         slow_prefill = self.prefill_rate * DEGRADED_FACTOR < self.declared_prefill_rate
         return slow_decode or slow_prefill
 
-    def adjust(self, now: float) -> None:
+    def adjust_window(self, now: float) -> None:
         """Adapt the window to the speed of the engine, at most once a second."""
-        if now - self.adjusted < ADJUST_EVERY_S:
+        if now - self.adjusted_at < ADJUST_INTERVAL_S:
             return
-        self.adjusted = now
-        if self.suspect(now) or self.runs and self.gap > SLOW_FACTOR * self.objective_gap:
-            self.window = max(1.0, self.window * SHRINK)
+        self.adjusted_at = now
+        if (
+            self.is_suspect(now)
+            or self.runs
+            and self.gap > SLOW_GAP_FACTOR * self.objective_gap
+        ):
+            self.window = max(1.0, self.window * WINDOW_SHRINK_FACTOR)
         else:
             self.window = min(float(self.slots), self.window + 1.0)
 
-    def _learn_lateness(self, run: Progress, now: float) -> None:
-        ratio = (now - run.started) / max(run.estimate_s, 1e-3)
-        self.lateness += GAIN * (min(ratio, LATENESS_CAP) - self.lateness)
+    def _update_lateness(self, run: RunProgress, now: float) -> None:
+        ratio = (now - run.started_at) / max(run.estimate_s, 1e-3)
+        self.lateness += SMOOTHING_FACTOR * (min(ratio, MAX_LATENESS) - self.lateness)
 
-    def safe_s(self, estimate_s: float) -> float:
+    def pessimistic_s(self, estimate_s: float) -> float:
         """Return an estimate scaled by the lateness of earlier ones and a safety factor."""
-        return estimate_s * max(1.0, self.lateness) * SAFETY
+        return estimate_s * max(1.0, self.lateness) * ESTIMATE_SAFETY_FACTOR
 
-    def _first_token(self, run: Progress, now: float) -> None:
-        run.first_token = now
-        self.backlog -= run.uncached_tokens
-        elapsed = now - run.started - self.gap
+    def _record_first_token(self, run: RunProgress, now: float) -> None:
+        run.first_token_at = now
+        self.backlog_tokens -= run.uncached_tokens
+        elapsed = now - run.started_at - self.gap
         if run.backlog_tokens >= MIN_PREFILL_SAMPLE_TOKENS and elapsed > 0:
             min_sample = 1 / (4 * self.declared_prefill_rate)
             sample = max(min_sample, elapsed / run.backlog_tokens)
             mean = 1 / self.prefill_rate
-            self.prefill_rate = 1 / (mean + GAIN * (sample - mean))
+            self.prefill_rate = 1 / (mean + SMOOTHING_FACTOR * (sample - mean))
--- a/dockreach/claims.py
+++ b/dockreach/claims.py
@@ -22,41 +22,41 @@
     RebuildReply,
 )
 
-KEYED_MARK = "k-"
+KEYED_PREFIX = "k-"
 """Prefix of the ids of requests with an idempotency key."""
 
 
 def is_keyed(rid: str) -> bool:
     """Return whether a request id was derived from an idempotency key."""
-    return rid.startswith(KEYED_MARK)
+    return rid.startswith(KEYED_PREFIX)
 
 
-NUMBERS_PER_LIFE = 1 << 20
+NUMBERS_PER_INCARNATION = 1 << 20
 """Number of claim numbers reserved for each incarnation of an owner."""
 
 
-def next_number(world: AgentWorld) -> int:
+def next_claim_number(world: AgentWorld) -> int:
     """Return a claim number that no incarnation of this owner has used before."""
     world.claim_number += 1
-    return world.incarnation * NUMBERS_PER_LIFE + world.claim_number
+    return world.incarnation * NUMBERS_PER_INCARNATION + world.claim_number
 
 
 @receive.register
 def _(message: Claim, world: AgentWorld, peer: str) -> None:
-    if not _rebuilt(world):
+    if not _is_rebuilt(world):
         world.deferred_claims.append((peer, message))
         return
     row = world.claims.get(message.rid)
     if row is None:
         _new_claim(world, message, peer)
         return
-    row.touched = world.now
+    row.last_used_at = world.now
     if row.state.digest and row.state.digest != message.digest:
         reply = ClaimReply(rid=message.rid, state=row.state, mismatch=True)
         world.send(peer, reply)
         return
-    if message.refuted == row.state.number and row.others:
-        row.state = row.others.pop()
+    if message.refuted == row.state.number and row.other_bindings:
+        row.state = row.other_bindings.pop()
     elif not row.state.agent or message.refuted == row.state.number:
         _supersede(world, row, message, peer)
     world.send(peer, ClaimReply(rid=message.rid, state=row.state))
@@ -66,17 +66,17 @@
     """Give the claim to a later attempt, because no agent is bound or it was refuted."""
     if row.entry not in ("", peer):
         world.send(row.entry, BindReply(rid=message.rid, ok=False))
-    row.state = ClaimState(number=next_number(world), digest=message.digest)
+    row.state = ClaimState(number=next_claim_number(world), digest=message.digest)
     row.entry = peer
     row.ran = False
 
 
 def _new_claim(world: AgentWorld, message: Claim, peer: str) -> None:
-    state = ClaimState(number=next_number(world), digest=message.digest)
-    certain = not may_have_forgotten(world)
+    state = ClaimState(number=next_claim_number(world), digest=message.digest)
+    certain = not may_have_lost_claim(world)
     if certain:
         world.claims[message.rid] = ClaimRow(state, peer, world.now)
-        world.remember_until("claims", message.rid)
+        world.schedule_expiry("claims", message.rid)
     world.send(peer, ClaimReply(rid=message.rid, state=state, certain=certain))
 
 
@@ -89,7 +89,7 @@
     current = row.entry == peer and row.state.number == message.number
     ok = current and not row.state.agent
     if ok:
-        row.touched = world.now
+        row.last_used_at = world.now
         row.state = ClaimState(
             number=message.number,
             agent=message.agent,
@@ -123,13 +123,13 @@
     if rebuild is None or message.incarnation != world.incarnation:
         return
     for known in message.runs:
-        _learn(world, known)
+        _merge_known_run(world, known)
     rebuild.silent.update(message.silent)
     if message.last:
-        rebuild.waiting.discard(peer)
+        rebuild.pending.discard(peer)
 
 
-def _learn(world: AgentWorld, known: KnownRun) -> None:
+def _merge_known_run(world: AgentWorld, known: KnownRun) -> None:
     """Merge a run that a peer knows of into the claims.
 
     What an agent reports as run takes precedence over what an entry committed.
@@ -137,32 +137,34 @@
     row = world.claims.get(known.rid)
     if row is not None and (row.ran or row.entry):
         return
-    state = ClaimState(next_number(world), known.agent, known.incarnation)
+    state = ClaimState(next_claim_number(world), known.agent, known.incarnation)
     if row is None or known.ran:
         world.claims[known.rid] = ClaimRow(state, "", world.now, ran=known.ran)
-        world.remember_until("claims", known.rid)
+        world.schedule_expiry("claims", known.rid)
         return
-    known_bindings = {(item.agent, item.incarnation) for item in [row.state, *row.others]}
+    known_bindings = {
+        (item.agent, item.incarnation) for item in [row.state, *row.other_bindings]
+    }
     if (known.agent, known.incarnation) not in known_bindings:
-        row.others.append(state)
+        row.other_bindings.append(state)
 
 
 def begin_rebuild(world: AgentWorld) -> None:
     """Start a rebuild: ask all linked entries. Called once links are up."""
-    world.rebuild = Rebuild(waiting=set(world.entries))
+    world.rebuild = Rebuild(pending=set(world.entries))
     ask = RebuildAsk(owner=world.name, incarnation=world.incarnation)
     for entry in world.entries:
         world.send(entry, ask)
 
 
-def note_entry(world: AgentWorld, peer: str, hello: PeerUp) -> None:
+def handle_entry_up(world: AgentWorld, peer: str, hello: PeerUp) -> None:
     """Ask an entry that links after the rebuild began, and record a recent start of it."""
     rebuild = world.rebuild
     if rebuild is None:
         return
     if hello.age_s < world.policy.retention_s:
-        rebuild.young_entries = True
-    rebuild.waiting.add(peer)
+        rebuild.has_recent_entries = True
+    rebuild.pending.add(peer)
     ask = RebuildAsk(owner=world.name, incarnation=world.incarnation)
     world.send(peer, ask)
 
@@ -172,8 +174,8 @@
     rebuild = world.rebuild
     if rebuild is None or rebuild.done:
         return
-    rebuild.waiting &= set(world.entries)
-    if rebuild.waiting:
+    rebuild.pending &= set(world.entries)
+    if rebuild.pending:
         return
     rebuild.done = True
     deferred: list[tuple[str, AnyMessage]] = world.deferred_claims
@@ -182,11 +184,11 @@
         receive(message, world, peer)
 
 
-def _rebuilt(world: AgentWorld) -> bool:
+def _is_rebuilt(world: AgentWorld) -> bool:
     return world.rebuild is not None and world.rebuild.done
 
 
-def may_have_forgotten(world: AgentWorld) -> bool:
+def may_have_lost_claim(world: AgentWorld) -> bool:
     """Return whether a previous incarnation may have bound a key that is unknown here.
 
     The state of that incarnation is lost, but the agents that ran requests and the
@@ -199,4 +201,4 @@
     rebuild = world.rebuild
     if rebuild is None:
         return True
-    return bool(rebuild.silent) and rebuild.young_entries
+    return bool(rebuild.silent) and rebuild.has_recent_entries
--- a/dockreach/commitment.py
+++ b/dockreach/commitment.py
@@ -16,7 +16,7 @@
     RequestRow,
     receive,
 )
-from .granting import MILLIS
+from .granting import MS_PER_S
 from .messages import (
     Attach,
     Bind,
@@ -31,7 +31,7 @@
 from .verdict import Reason, Refusal, Verdict
 
 
-def decide(world: EntryWorld) -> None:
+def choose_grants(world: EntryWorld) -> None:
     """System: choose a grant for each request whose holds or claim have changed."""
     changed_rids = world.undecided
     world.undecided = set()
@@ -41,18 +41,18 @@
             continue
         if req.keyed and req.claim is None:
             continue
-        if world.now < req.settle_at and not req.asked <= req.heard:
+        if world.now < req.offers_until and not req.asked_agents <= req.answered_agents:
             continue
         grant = placement.choose_grant(world, req)
         if grant is not None:
-            _accept(world, req, grant)
+            _accept_grant(world, req, grant)
 
 
-def _accept(world: EntryWorld, req: RequestRow, grant: Grant) -> None:
-    name = _granter(req, grant)
+def _accept_grant(world: EntryWorld, req: RequestRow, grant: Grant) -> None:
+    name = _granting_agent(req, grant)
     req.agent = name
     req.incarnation = grant.incarnation
-    req.number = grant.number
+    req.grant_number = grant.number
     if not req.keyed:
         _commit(world, req)
         return
@@ -65,39 +65,39 @@
         agent=name,
         incarnation=grant.incarnation,
     )
-    world.note(req, "bind", owner, f"to {name}")
+    world.record_decision(req, "bind", owner, f"to {name}")
     world.send(owner, bind)
 
 
-def _granter(req: RequestRow, grant: Grant) -> str:
+def _granting_agent(req: RequestRow, grant: Grant) -> str:
     return next(name for name, row in req.grants.items() if row is grant)
 
 
 def _commit(world: EntryWorld, req: RequestRow) -> None:
     placement.withdraw_all(world, req, but=req.agent)
-    world.leave_waiting(req)
+    world.remove_waiting(req)
     req.phase = Phase.COMMITTED
     req.attempts += 1
     commit = Commit(
         rid=req.rid,
-        number=req.number,
+        number=req.grant_number,
         incarnation=req.incarnation,
         method=req.method,
         path=req.path,
         body=req.body,
-        deadline_ms=int((req.deadline - world.now) * MILLIS),
+        deadline_ms=int((req.deadline - world.now) * MS_PER_S),
         content_type=req.content_type,
         stream=req.stream,
     )
-    world.note(req, "commit", req.agent, f"grant {req.number}")
+    world.record_decision(req, "commit", req.agent, f"grant {req.grant_number}")
     world.send(req.agent, commit)
-    world.wake_at(req.deadline + world.policy.grace_s, req.rid)
+    world.schedule_check(req.deadline + world.policy.grace_s, req.rid)
 
 
 @receive.register
 def _(message: ClaimReply, world: EntryWorld, peer: str) -> None:
     req = world.requests.get(message.rid)
-    if req is None or not req.waiting:
+    if req is None or not req.is_waiting:
         return
     if message.mismatch:
         detail = "this idempotency key was used with another request"
@@ -105,7 +105,7 @@
         shedding.finish(world, req, refusal)
         return
     if message.state.agent:
-        follow(world, req, message.state)
+        follow_binding(world, req, message.state)
         return
     if not message.certain:
         detail = "the owner of this key lost its state; an earlier attempt may have run"
@@ -113,20 +113,20 @@
         shedding.finish(world, req, refusal)
         return
     req.claim = message.state.number
-    world.note(req, "claimed", peer, f"claim {req.claim}")
+    world.record_decision(req, "claimed", peer, f"claim {req.claim}")
     world.undecided.add(req.rid)
 
 
-def follow(world: EntryWorld, req: RequestRow, state: ClaimState) -> None:
+def follow_binding(world: EntryWorld, req: RequestRow, state: ClaimState) -> None:
     """Attach to the agent that an earlier attempt of this request was bound to."""
     placement.withdraw_all(world, req)
-    world.leave_waiting(req)
+    world.remove_waiting(req)
     req.claim = None
     req.binding = state.number
     req.agent = state.agent
     req.incarnation = state.incarnation
-    req.number = 0
-    world.note(req, "follow", state.agent, "an earlier attempt is bound there")
+    req.grant_number = 0
+    world.record_decision(req, "follow", state.agent, "an earlier attempt is bound there")
     attach(world, req)
 
 
@@ -136,9 +136,9 @@
     If the agent is not linked, the outcome is unclear for now.
     """
     row = world.agents.get(req.agent)
-    world.at_agent.setdefault(req.agent, set()).add(req.rid)
+    world.requests_at_agent.setdefault(req.agent, set()).add(req.rid)
     if row is None or not row.linked:
-        make_unclear(world, req)
+        mark_unclear(world, req)
         return
     req.phase = Phase.COMMITTED
     message = Attach(
@@ -147,9 +147,9 @@
         organisation=req.organisation,
         from_chunk=req.next_chunk,
     )
-    world.note(req, "attach", req.agent, f"from chunk {req.next_chunk}")
+    world.record_decision(req, "attach", req.agent, f"from chunk {req.next_chunk}")
     world.send(req.agent, message)
-    world.wake_at(req.deadline + world.policy.grace_s, req.rid)
+    world.schedule_check(req.deadline + world.policy.grace_s, req.rid)
 
 
 @receive.register
@@ -163,7 +163,7 @@
         share=1.0,
         pool=message.pool,
         deadline=world.now + message.deadline_s,
-        arrived=world.now,
+        arrived_at=world.now,
         prompt_tokens=0,
         output_tokens=0,
         blocks=(),
@@ -179,22 +179,22 @@
     )
     world.counters.admitted += 1
     world.requests[req.rid] = req
-    world.note(req, "ticket", message.agent)
+    world.record_decision(req, "ticket", message.agent)
     attach(world, req)
 
 
 @receive.register
 def _(message: BindReply, world: EntryWorld, peer: str) -> None:
     req = world.requests.get(message.rid)
-    if req is None or not req.waiting:
+    if req is None or not req.is_waiting:
         return
     bound_here = req.phase is Phase.BINDING and message.state.agent == req.agent
     if message.ok and bound_here:
         _commit(world, req)
         return
-    world.note(req, "superseded", peer)
+    world.record_decision(req, "superseded", peer)
     if message.state.agent:
-        follow(world, req, message.state)
+        follow_binding(world, req, message.state)
         return
     detail = "a later attempt of this request superseded it"
     refusal = Refusal(Verdict.MAY_HAVE_RUN, Reason.SUPERSEDED, detail, 1.0)
@@ -204,11 +204,11 @@
 @receive.register
 def _(message: Refused, world: EntryWorld, peer: str) -> None:
     req = world.requests.get(message.rid)
-    if req is None or req.agent != peer or message.number != req.number:
+    if req is None or req.agent != peer or message.number != req.grant_number:
         return
     if req.phase not in (Phase.COMMITTED, Phase.UNCLEAR):
         return
-    world.note(req, "not run", peer, message.reason.value)
+    world.record_decision(req, "not run", peer, message.reason.value)
     place_again(world, req, message.reason)
 
 
@@ -219,8 +219,8 @@
         return
     if req.phase not in (Phase.COMMITTED, Phase.UNCLEAR):
         return
-    world.note(req, "fenced", peer, message.verdict.value)
-    if message.verdict is Verdict.NOT_RUN and message.number >= req.number:
+    world.record_decision(req, "fenced", peer, message.verdict.value)
+    if message.verdict is Verdict.NOT_RUN and message.number >= req.grant_number:
         place_again(world, req, Reason.FENCED)
     else:
         verdict = shedding.committed_verdict(req)
@@ -230,40 +230,40 @@
 
 def place_again(world: EntryWorld, req: RequestRow, reason: Reason) -> None:
     """Place a request again, after a proof that it was not run."""
-    if req.first_chunk is not None:
+    if req.first_chunk_at is not None:
         shedding.finish(world, req, Refusal(Verdict.RAN, reason, "", 1.0))
         return
-    _reset(world, req)
+    _clear_placement(world, req)
     verdict = shedding.waiting_verdict(req)
     if not req.path:
         shedding.finish(world, req, Refusal(verdict, reason, "", 1.0))
         return
-    if req.attempts >= world.policy.max_attempts or not world.budget.spend():
+    if req.attempts >= world.policy.max_attempts or not world.retry_budget.try_acquire():
         refusal = Refusal(verdict, Reason.RETRY_BUDGET, reason.value, 1.0)
         shedding.finish(world, req, refusal)
         return
     world.counters.redispatched += 1
-    world.enter_waiting(req)
-    if req.keyed and not placement.claim(world, req):
+    world.add_waiting(req)
+    if req.keyed and not placement.claim_key(world, req):
         return
-    placement.ask(world, req)
+    placement.send_holds(world, req)
 
 
-def _reset(world: EntryWorld, req: RequestRow) -> None:
-    placement.unhold(world, req, req.agent)
+def _clear_placement(world: EntryWorld, req: RequestRow) -> None:
+    placement.forget_hold(world, req, req.agent)
     req.refuted = req.binding
     req.agent = ""
     req.incarnation = 0
-    req.number = 0
+    req.grant_number = 0
     req.widen_step = 0
-    req.turned_away.clear()
+    req.rejections.clear()
     if req.keyed:
         req.claim = None
 
 
-def make_unclear(world: EntryWorld, req: RequestRow) -> None:
+def mark_unclear(world: EntryWorld, req: RequestRow) -> None:
     """Wait `unclear_s` for an unreachable agent to which a request was committed."""
     req.phase = Phase.UNCLEAR
     req.unclear_until = world.now + world.policy.unclear_s
-    world.note(req, "unclear", req.agent)
-    world.wake_at(req.unclear_until, req.rid)
+    world.record_decision(req, "unclear", req.agent)
+    world.schedule_check(req.unclear_until, req.rid)
--- a/dockreach/spreading.py
+++ b/dockreach/config_store.py
@@ -21,7 +21,7 @@
 from .errors import RevisionError, SettingsError
 from .messages import AnyMessage, ConfigAsk, ConfigBody, ConfigDelta
 
-KEPT_REVISIONS = 32
+MAX_PAST_REVISIONS = 32
 """Past revisions that are kept, to send only the differences to peers that are behind."""
 
 
@@ -54,7 +54,7 @@
         """The current revision; 0 before the first."""
         return self.declarations.revision if self.declarations else 0
 
-    def offer(self, body: str, source: str) -> Declarations | None:
+    def accept(self, body: str, source: str) -> Declarations | None:
         """Accept a newer configuration.
 
         Args:
@@ -92,7 +92,7 @@
     def _adopt(self, declarations: Declarations, body: str, digest: str) -> None:
         if self.declarations is not None:
             self.past.append((self.revision, self.sections))
-            while len(self.past) > KEPT_REVISIONS:
+            while len(self.past) > MAX_PAST_REVISIONS:
                 self.past.popleft()
         self.declarations = declarations
         self.body = body
@@ -148,7 +148,7 @@
         body = join_sections(sections)
         if content_hash(body) != delta.digest:
             raise RevisionError(f"{source}: delta does not produce hash {delta.digest}")
-        return self.offer(body, source)
+        return self.accept(body, source)
 
     def _delta(self, base: int, sections: dict[str, str]) -> ConfigDelta:
         changed = {
--- a/dockreach/daemon.py
+++ b/dockreach/daemon.py
@@ -18,15 +18,15 @@
 
 from . import __version__  # noqa: E402
 from .agent_node import AgentNode  # noqa: E402
-from .callers import SOCKET_KEY  # noqa: E402
+from .caller_api import SOCKET_ENVIRON_KEY  # noqa: E402
 from .entry_node import EntryNode  # noqa: E402
 from .errors import SettingsError  # noqa: E402
 from .events import Event, configure_logging, log  # noqa: E402
 from .settings import Settings, load  # noqa: E402
 
-EXIT_SETTINGS = 2
-DRAIN_CHECK_S = 0.1
-NOTICE_S = 1.0
+INVALID_SETTINGS_EXIT_CODE = 2
+DRAIN_POLL_INTERVAL_S = 0.1
+UNREADY_NOTICE_S = 1.0
 """Time between the first failed readiness check and the first check for remaining
 requests."""
 
@@ -36,7 +36,7 @@
 
     def get_environ(self) -> dict[str, Any]:
         environ: dict[str, Any] = super().get_environ()
-        environ[SOCKET_KEY] = self.connection
+        environ[SOCKET_ENVIRON_KEY] = self.connection
         return environ
 
 
@@ -45,7 +45,7 @@
     entry = settings.daemon.role == "entry"
     node: EntryNode | AgentNode = EntryNode(settings) if entry else AgentNode(settings)
     sock = _listen(settings.listen.http)
-    link_port = _green.run(node.open_links())
+    link_port = _green.run_coroutine(node.open_links())
     app = node.app if isinstance(node, EntryNode) else node.pages
     _green.spawn(_serve, sock, app, settings)
     node.start()
@@ -54,14 +54,14 @@
     signal.signal(signal.SIGINT, stop)
     http_port = sock.getsockname()[1]
     log(Event.STARTED, role=settings.daemon.role, http=http_port, link=link_port)
-    while not stop.asked:
-        _green.sleep(DRAIN_CHECK_S)
+    while not stop.is_requested:
+        _green.sleep(DRAIN_POLL_INTERVAL_S)
     log(Event.STOPPING)
     node.leave()
-    _green.sleep(NOTICE_S)
+    _green.sleep(UNREADY_NOTICE_S)
     while not node.drained():
-        _green.sleep(DRAIN_CHECK_S)
-    _green.run(node.links.stop())
+        _green.sleep(DRAIN_POLL_INTERVAL_S)
+    _green.run_coroutine(node.links.stop())
     log(Event.STOPPED)
     # Does not wait for gRPC's poller thread, which would delay the interpreter's exit.
     os._exit(0)
@@ -71,11 +71,11 @@
     """A signal handler that only records that a stop was requested."""
 
     def __init__(self) -> None:
-        self.asked = False
+        self.is_requested = False
 
     def __call__(self, number: int, frame: object) -> None:
         del number, frame
-        self.asked = True
+        self.is_requested = True
 
 
 def _listen(address: str) -> Any:  # noqa: ANN401
@@ -107,7 +107,7 @@
         settings = load(path)
     except SettingsError as exc:
         click.echo(f"dockreachd: {exc}", err=True)
-        sys.exit(EXIT_SETTINGS)
+        sys.exit(INVALID_SETTINGS_EXIT_CODE)
     if check:
         click.echo(f"{path}: settings are valid")
         return
--- a/dockreach/endpoints.py
+++ b/dockreach/endpoints.py
@@ -27,35 +27,35 @@
     StartRun,
 )
 from .messages import Chunk
-from .orders import EndpointState, Order
+from .orders import EndpointState, LoadOrder
 from .verdict import Reason
 
-CONNECT_S = 2.0
-READ_S = 300.0
+CONNECT_TIMEOUT_S = 2.0
+READ_TIMEOUT_S = 300.0
 """Time without data from an engine after which its response counts as cut."""
 
-RESUME_TRIES = 3
-RESUME_PAUSE_S = 0.1
-PIECE_BYTES = 64 << 10
+MAX_RESUME_ATTEMPTS = 3
+RESUME_DELAY_S = 0.1
+READ_SIZE_BYTES = 64 << 10
 PROBE_TOKENS = 4
 BUSY_STATUSES = frozenset({429, 503})
 """HTTP statuses by which an OpenAI-style engine refuses a request without running it."""
 
 EVENT_STREAM = "text/event-stream"
-PREFILL_HEADER = "X-Prefill-Tokens"
-CACHED_HEADER = "X-Cached-Tokens"
+PREFILL_TOKENS_HEADER = "X-Prefill-Tokens"
+CACHED_TOKENS_HEADER = "X-Cached-Tokens"
 
-Sink = Callable[[object], None]
+MessageSink = Callable[[object], None]
 """Called with each message to the core."""
 
-Gate = Callable[[str], bool]
+ReadGate = Callable[[str], bool]
 """Called with a request id; returns whether to read on from the engine.
 
 It returns false while the readers of the run lag behind.
 """
 
 
-class _CutError(Exception):
+class _IncompleteResponseError(Exception):
     """The connection to the engine ended before the response did."""
 
 
@@ -64,17 +64,17 @@
     """The state that all kinds share: the address, and the open responses by request id."""
 
     url: str
-    sink: Sink
-    gate: Gate
+    sink: MessageSink
+    may_read: ReadGate
     pool: urllib3.PoolManager = field(
         default_factory=lambda: urllib3.PoolManager(
             retries=False,
             maxsize=64,
-            timeout=urllib3.Timeout(connect=CONNECT_S, read=READ_S),
+            timeout=urllib3.Timeout(connect=CONNECT_TIMEOUT_S, read=READ_TIMEOUT_S),
         )
     )
-    open: dict[str, Any] = field(default_factory=dict)
-    cancelled: set[str] = field(default_factory=set)
+    open_responses: dict[str, Any] = field(default_factory=dict)
+    cancelled_runs: set[str] = field(default_factory=set)
 
 
 @dataclass(slots=True)
@@ -94,7 +94,9 @@
     conn: Connection
 
 
-def connect(kind: str, url: str, sink: Sink, gate: Gate) -> OpenAiEngine | PlainService:
+def create_adapter(
+    kind: str, url: str, sink: MessageSink, gate: ReadGate
+) -> OpenAiEngine | PlainService:
     """Return the adapter for a declared kind of endpoint."""
     conn = Connection(url, sink, gate)
     return PlainService(conn) if kind == "service" else OpenAiEngine(conn)
@@ -114,35 +116,35 @@
         "X-Request-Id": rid,
         "X-Priority": str(2 * start.tier + (0 if start.short else 1)),
     }
-    response = _send(conn, start, headers)
+    response = _send_request(conn, start, headers)
     if response is None:
         return
     if response.status in BUSY_STATUSES:
         response.drain_conn()
-        _close(conn, rid)
+        _release(conn, rid)
         conn.sink(EngineNotRun(rid))
         return
-    _follow(conn, rid, response, 0)
+    _relay_response(conn, rid, response, 0)
 
 
 @dispatch.register
 def _(endpoint: PlainService, start: StartRun) -> None:
     conn = endpoint.conn
     rid = start.commit.rid
-    response = _send(conn, start, {"X-Request-Id": rid})
+    response = _send_request(conn, start, {"X-Request-Id": rid})
     if response is None:
         return
     try:
-        number = _pieces(conn, rid, response, 0)
-    except (_CutError, HTTPError, OSError):
+        number = _relay_body(conn, rid, response, 0)
+    except (_IncompleteResponseError, HTTPError, OSError):
         conn.sink(EngineEnded(rid, False, 0, Reason.ENGINE_LOST))
     else:
         conn.sink(EngineEnded(rid, True, number))
     finally:
-        _close(conn, rid)
+        _release(conn, rid)
 
 
-def _send(conn: Connection, start: StartRun, headers: dict[str, str]) -> Any:  # noqa: ANN401
+def _send_request(conn: Connection, start: StartRun, headers: dict[str, str]) -> Any:  # noqa: ANN401
     """Send a request; return the response, or ``None`` after handling a failure."""
     commit = start.commit
     if commit.body:
@@ -159,49 +161,49 @@
         conn.sink(EngineNotRun(commit.rid, unreachable=True))
         return None
     except (HTTPError, OSError):
-        _recover(conn, commit.rid, 0)
+        _resume_after_cut(conn, commit.rid, 0)
         return None
-    conn.open[commit.rid] = response
+    conn.open_responses[commit.rid] = response
     return response
 
 
-def _follow(conn: Connection, rid: str, response: Any, number: int) -> None:  # noqa: ANN401
+def _relay_response(conn: Connection, rid: str, response: Any, number: int) -> None:  # noqa: ANN401
     """Report an engine's response to its end; resume it if the connection is lost."""
     progress = [number]
     try:
         if response.headers.get("Content-Type", "").startswith(EVENT_STREAM):
-            total = _events(conn, rid, response, progress)
+            total = _relay_events(conn, rid, response, progress)
         else:
-            total = _pieces(conn, rid, response, progress[0])
-    except (_CutError, HTTPError, OSError):
-        _close(conn, rid)
-        _recover(conn, rid, progress[0])
+            total = _relay_body(conn, rid, response, progress[0])
+    except (_IncompleteResponseError, HTTPError, OSError):
+        _release(conn, rid)
+        _resume_after_cut(conn, rid, progress[0])
         return
-    prefill = int(response.headers.get(PREFILL_HEADER, "0"))
-    cached = int(response.headers.get(CACHED_HEADER, "0"))
-    _close(conn, rid)
+    prefill = int(response.headers.get(PREFILL_TOKENS_HEADER, "0"))
+    cached = int(response.headers.get(CACHED_TOKENS_HEADER, "0"))
+    _release(conn, rid)
     ended = EngineEnded(rid, True, total, prefill_tokens=prefill, cached_tokens=cached)
     conn.sink(ended)
 
 
-def _recover(conn: Connection, rid: str, number: int) -> None:
+def _resume_after_cut(conn: Connection, rid: str, number: int) -> None:
     """Resume a run from a chunk on, after its connection was lost.
 
     The run is reported as lost if the engine does not know it after some attempts.
     """
-    for _ in range(RESUME_TRIES):
-        if rid in conn.cancelled:
+    for _ in range(MAX_RESUME_ATTEMPTS):
+        if rid in conn.cancelled_runs:
             break
-        _green.sleep(RESUME_PAUSE_S)
-        response = _lookup(conn, rid, number)
+        _green.sleep(RESUME_DELAY_S)
+        response = _fetch_run(conn, rid, number)
         if response is not None:
-            _follow(conn, rid, response, number)
+            _relay_response(conn, rid, response, number)
             return
-    conn.cancelled.discard(rid)
+    conn.cancelled_runs.discard(rid)
     conn.sink(EngineEnded(rid, False, 0, Reason.ENGINE_LOST))
 
 
-def _lookup(conn: Connection, rid: str, number: int) -> Any:  # noqa: ANN401
+def _fetch_run(conn: Connection, rid: str, number: int) -> Any:  # noqa: ANN401
     """Return the response of a run from a chunk on; ``None`` if the engine has none."""
     url = f"{conn.url}/v1/runs/{rid}?offset={number}"
     try:
@@ -211,21 +213,21 @@
     if response.status != 200:
         response.drain_conn()
         return None
-    conn.open[rid] = response
+    conn.open_responses[rid] = response
     return response
 
 
-def _events(conn: Connection, rid: str, response: Any, progress: list[int]) -> int:  # noqa: ANN401
+def _relay_events(conn: Connection, rid: str, response: Any, progress: list[int]) -> int:  # noqa: ANN401
     """Report server-sent events, numbered by their ``id``; return their number."""
     buffer = b""
     count = -1
     status = response.status
     content_type = response.headers.get("Content-Type", "")
-    for data in response.stream(PIECE_BYTES):
+    for data in response.stream(READ_SIZE_BYTES):
         buffer += data
         *events, buffer = buffer.split(b"\n\n")
         for event in events:
-            number, text = _event(event, progress[0])
+            number, text = _parse_event(event, progress[0])
             is_last = text == b"data: [DONE]"
             if is_last:
                 count = number + 1
@@ -242,11 +244,11 @@
                 progress[0] += 1
         _wait_for_readers(conn, rid)
     if count < 0:
-        raise _CutError
+        raise _IncompleteResponseError
     return count
 
 
-def _event(event: bytes, expected: int) -> tuple[int, bytes]:
+def _parse_event(event: bytes, expected: int) -> tuple[int, bytes]:
     """Return an event's number and its text without the number."""
     first, _, rest = event.partition(b"\n")
     if first.startswith(b"id: "):
@@ -254,12 +256,12 @@
     return expected, event
 
 
-def _pieces(conn: Connection, rid: str, response: Any, number: int) -> int:  # noqa: ANN401
+def _relay_body(conn: Connection, rid: str, response: Any, number: int) -> int:  # noqa: ANN401
     """Report a plain body chunk by chunk; return the number after the last chunk."""
     content_type = response.headers.get("Content-Type", "")
     expected_size = response.headers.get("Content-Length")
     size = 0
-    for received in response.stream(PIECE_BYTES):
+    for received in response.stream(READ_SIZE_BYTES):
         size += len(received)
         conn.sink(
             EngineChunk(Chunk(rid, number, received, 0, response.status, content_type))
@@ -267,7 +269,7 @@
         number += 1
         _wait_for_readers(conn, rid)
     if expected_size is not None and size < int(expected_size):
-        raise _CutError
+        raise _IncompleteResponseError
     if number == 0:
         conn.sink(EngineChunk(Chunk(rid, 0, b"", 0, response.status, content_type)))
         number = 1
@@ -275,12 +277,12 @@
 
 
 def _wait_for_readers(conn: Connection, rid: str) -> None:
-    while not conn.gate(rid):
+    while not conn.may_read(rid):
         _green.sleep(0.02)
 
 
-def _close(conn: Connection, rid: str) -> None:
-    response = conn.open.pop(rid, None)
+def _release(conn: Connection, rid: str) -> None:
+    response = conn.open_responses.pop(rid, None)
     if response is not None:
         response.release_conn()
 
@@ -293,19 +295,19 @@
 
 @cancel.register
 def _(endpoint: OpenAiEngine, rid: str) -> None:
-    endpoint.conn.cancelled.add(rid)
+    endpoint.conn.cancelled_runs.add(rid)
     try:
         endpoint.conn.pool.request("DELETE", f"{endpoint.conn.url}/v1/runs/{rid}")
     except (HTTPError, OSError):
         return
     finally:
         _green.sleep(0)
-        endpoint.conn.cancelled.discard(rid)
+        endpoint.conn.cancelled_runs.discard(rid)
 
 
 @cancel.register
 def _(endpoint: PlainService, rid: str) -> None:
-    response = endpoint.conn.open.get(rid)
+    response = endpoint.conn.open_responses.get(rid)
     if response is not None:
         response.close()
 
@@ -322,18 +324,18 @@
 
 @resume.register
 def _(endpoint: OpenAiEngine, rid: str) -> bool:
-    response = _lookup(endpoint.conn, rid, 0)
+    response = _fetch_run(endpoint.conn, rid, 0)
     if response is None:
         return False
-    _green.spawn(_follow, endpoint.conn, rid, response, 0)
+    _green.spawn(_relay_response, endpoint.conn, rid, response, 0)
     return True
 
 
-def reachable(endpoint: OpenAiEngine | PlainService) -> bool:
+def is_reachable(endpoint: OpenAiEngine | PlainService) -> bool:
     """Return whether an endpoint's address accepts connections."""
     host, _, port = endpoint.conn.url.removeprefix("http://").rpartition(":")
     try:
-        socket.create_connection((host, int(port)), timeout=CONNECT_S).close()
+        socket.create_connection((host, int(port)), timeout=CONNECT_TIMEOUT_S).close()
     except OSError:
         return False
     return True
@@ -358,7 +360,7 @@
             f"{endpoint.conn.url}/v1/completions",
             body=body,
             headers={"Content-Type": "application/json", "X-Probe": "1"},
-            timeout=urllib3.Timeout(connect=CONNECT_S, read=10.0),
+            timeout=urllib3.Timeout(connect=CONNECT_TIMEOUT_S, read=10.0),
         )
     except (HTTPError, OSError):
         return ProbeSample(None, None)
@@ -368,7 +370,7 @@
     return ProbeSample(None, gap)
 
 
-def loaded(endpoint: OpenAiEngine | PlainService) -> EndpointState | None:
+def fetch_loaded_state(endpoint: OpenAiEngine | PlainService) -> EndpointState | None:
     """Return what an endpoint has loaded; ``None`` if it does not report it."""
     try:
         response = endpoint.conn.pool.request("GET", f"{endpoint.conn.url}/v1/state")
@@ -379,7 +381,7 @@
         return None
 
 
-def give(endpoint: OpenAiEngine | PlainService, order: Order) -> bool:
+def send_order(endpoint: OpenAiEngine | PlainService, order: LoadOrder) -> bool:
     """Send a load order; return whether the endpoint accepted it."""
     try:
         response = endpoint.conn.pool.request(
@@ -397,7 +399,7 @@
 
 
 @singledispatch
-def cache_events(endpoint: object, after: int) -> list[CacheEvent]:
+def fetch_cache_events(endpoint: object, after: int) -> list[CacheEvent]:
     """Return the changes of the endpoint's prefix cache after an event number.
 
     Kinds without such a cache report none.
@@ -406,7 +408,7 @@
     return []
 
 
-@cache_events.register
+@fetch_cache_events.register
 def _(endpoint: OpenAiEngine, after: int) -> list[CacheEvent]:
     url = f"{endpoint.conn.url}/v1/cache/events?after={after}"
     try:
--- a/dockreach/entry.py
+++ b/dockreach/entry.py
@@ -9,7 +9,15 @@
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
 
-from . import answers, commitment, lending, membership, placement, relaying, shedding
+from . import (
+    commitment,
+    lending,
+    membership,
+    placement,
+    rebuild_relay,
+    response_chunks,
+    shedding,
+)
 from .entry_tables import AgentDown, EntryWorld, RequestRow, receive
 from .messages import AnyMessage
 
@@ -25,30 +33,30 @@
 
     Attributes:
         messages: Messages to send, with the peer that receives each.
-        woken: Requests with new chunks or an end for their callers, by caller number.
+        callers_to_wake: Requests with new chunks or an end for their callers, by caller number.
     """
 
     messages: list[tuple[str, AnyMessage]]
-    woken: dict[int, RequestRow]
+    callers_to_wake: dict[int, RequestRow]
 
 
-HANDLERS = (
-    answers,
+HANDLER_MODULES = (
+    response_chunks,
     commitment,
     lending,
     membership,
     placement,
-    relaying,
+    rebuild_relay,
     shedding,
 )
 """Modules that register message handlers when they are imported."""
 
 SYSTEMS: tuple[System, ...] = (
     shedding.run_timers,
-    shedding.bound_memory,
-    commitment.decide,
-    answers.acknowledge,
-    lending.borrow,
+    shedding.limit_memory,
+    commitment.choose_grants,
+    response_chunks.acknowledge,
+    lending.ask_for_loans,
 )
 """The entry's systems, in the order in which a tick runs them."""
 
@@ -68,12 +76,12 @@
     for peer, message in inbox:
         receive(message, world, peer)
         if isinstance(message, AgentDown):
-            relaying.lose_peer(world, peer)
+            rebuild_relay.remove_peer(world, peer)
     for system in SYSTEMS:
         system(world)
-    output = EntryOutput(world.outbox, world.woken)
+    output = EntryOutput(world.outbox, world.callers_to_wake)
     world.outbox = []
-    world.woken = {}
+    world.callers_to_wake = {}
     return output
 
 
--- a/dockreach/entry_node.py
+++ b/dockreach/entry_node.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from . import _green, clock
-from .callers import CallerApp
+from .caller_api import CallerApp
 from .declarations import Declarations, Fleet
 from .direct.feeds import Feed
 from .entry import next_wake, tick
@@ -28,26 +28,26 @@
 )
 from .errors import PlatformError
 from .events import Event, log
-from .exchange import Waiter
 from .limits import LimitTable
 from .messages import Heartbeat, Hello, QueryRows, VmRows
 from .metrics import Metrics, Sample, counter_samples, process_samples
 from .node import Node
 from .operator_api import OperatorApi
 from .pages import PageRouter
-from .platform import Platform
+from .platform import PlatformClient
 from .rendezvous import ranked
+from .response_delivery import Waiter
 from .settings import Settings
 from .verdict import Reason, Refusal, Verdict
 
-SETTLE_S = 18.0
+CONFIG_APPLY_DEADLINE_S = 18.0
 """Time within which every daemon applies an accepted configuration."""
 
-RETRY_PLATFORM_S = 1.0
+PLATFORM_RETRY_DELAY_S = 1.0
 """Delay before the next call to the platform after a failed call or a refused
 configuration, and before an entry that does not poll the platform checks its role again."""
 
-_NO_DECLARATIONS = Declarations(Fleet(revision=1), {}, {}, {}, {}, {}, {})
+_EMPTY_DECLARATIONS = Declarations(Fleet(revision=1), {}, {}, {}, {}, {}, {})
 
 
 class EntryNode(Node):
@@ -68,21 +68,21 @@
         self.world = EntryWorld(
             name=self.name,
             incarnation=self.incarnation,
-            declarations=_NO_DECLARATIONS,
+            declarations=_EMPTY_DECLARATIONS,
             limits=LimitTable(self.name, started=self.started),
             policy=policy,
             rng=random.Random(self.incarnation),
             started=self.started,
             now=self.started,
         )
-        self.platform = Platform(settings.platform.url)
+        self.platform = PlatformClient(settings.platform.url)
         self.metrics = Metrics(self.name)
         self.pages = PageRouter(self.is_ready, self._metrics_page)
         self.operators = OperatorApi(self, settings.operators.key_sha256)
         self.app = CallerApp(self)
         self.waiters: dict[int, Waiter] = {}
-        self._numbers = itertools.count(1)
-        self._platform_up = True
+        self._caller_numbers = itertools.count(1)
+        self._is_platform_available = True
         self._config_feed = Feed()
 
     def tables(self) -> EntryWorld:
@@ -99,7 +99,7 @@
         for address in self.settings.peers.addresses:
             if address != self.settings.listen.link:
                 self.links.dial(address)
-        _green.spawn(self._read_vms)
+        _green.spawn(self._poll_vms)
         _green.spawn(self._watch_config)
 
     def on_tick(self, inbox: list[tuple[str, object]], now: float) -> float | None:
@@ -108,7 +108,7 @@
         for peer, message in output.messages:
             self.links.send(peer, message)
         self.links.flush()
-        for number, row in output.woken.items():
+        for number, row in output.callers_to_wake.items():
             waiter = self.waiters.get(number)
             if waiter is not None:
                 waiter.wake(row)
@@ -120,14 +120,14 @@
         Larger shares of limits wait until all entries have the declarations, except for the
         first declarations after a start.
         """
-        first = self.world.declarations is _NO_DECLARATIONS
-        settle = 0.0 if first else SETTLE_S
+        first = self.world.declarations is _EMPTY_DECLARATIONS
+        settle = 0.0 if first else CONFIG_APPLY_DEADLINE_S
         self.ticker.put("", Configured(declarations, settle))
 
     def on_peer_up(self, hello: Hello) -> None:
         """Send the peer its part of the VM list, and report its link to the core."""
         if self.vms.version:
-            self.links.send(hello.peer, self.vms_for(hello.peer))
+            self.links.send(hello.peer, self.vm_rows_for(hello.peer))
             self.links.flush()
         age = hello.age_ms / 1000
         if hello.role == "agent":
@@ -167,10 +167,10 @@
             self.ticker.put(name, AgentGone())
         if self.is_watcher():
             for peer in self.links.peers:
-                self.links.send(peer, self.vms_for(peer))
+                self.links.send(peer, self.vm_rows_for(peer))
             self.links.flush()
 
-    def vms_for(self, peer: str) -> VmRows:
+    def vm_rows_for(self, peer: str) -> VmRows:
         """Return the part of the VM list that a peer needs.
 
         An agent needs only its own row and the entries of this data hall. If every daemon
@@ -189,7 +189,7 @@
     def _should_dial(self, name: str, role: str) -> bool:
         return role == "agent" or (role == "entry" and name > self.name)
 
-    def limit(self, message: Admit | AttachRun) -> Refusal | None:
+    def check_limits(self, message: Admit | AttachRun) -> Refusal | None:
         """Count a request against its organisation's limits.
 
         Returns:
@@ -209,13 +209,13 @@
 
     def submit(self, message: Admit | AttachRun) -> Waiter | Refusal:
         """Pass a request to the core; return the object on which its caller waits."""
-        number = next(self._numbers)
+        number = next(self._caller_numbers)
         waiter = Waiter(number, message.rid)
         self.waiters[number] = waiter
-        self.ticker.put("", _numbered(message, number))
+        self.ticker.put("", _with_caller(message, number))
         return waiter
 
-    def forget(self, waiter: Waiter) -> None:
+    def remove_waiter(self, waiter: Waiter) -> None:
         """Remove the waiter of a caller that no longer waits."""
         self.waiters.pop(waiter.caller, None)
 
@@ -244,44 +244,44 @@
         order = ranked(hall, {*linked, self.name})
         return self.name in order[: self.settings.platform.watchers]
 
-    def _read_vms(self) -> None:
+    def _poll_vms(self) -> None:
         while True:
             if self.is_watcher():
                 try:
-                    self.take_vms(self.platform.vm_list())
+                    self.apply_vm_rows(self.platform.vm_list())
                 except PlatformError as exc:
-                    self._platform_down(str(exc))
+                    self._record_platform_failure(str(exc))
                 else:
-                    self._platform_back()
+                    self._record_platform_response()
             _green.sleep(self.settings.platform.vm_poll_s)
 
     def _watch_config(self) -> None:
         while True:
             if not self.is_watcher():
-                _green.sleep(RETRY_PLATFORM_S)
+                _green.sleep(PLATFORM_RETRY_DELAY_S)
                 continue
             limits = self._config_feed.next_call_limits(
-                SETTLE_S, max_wait_s=self.settings.platform.watch_s
+                CONFIG_APPLY_DEADLINE_S, max_wait_s=self.settings.platform.watch_s
             )
             try:
                 body = self.platform.watch_config(self.config.revision, limits)
             except PlatformError as exc:
                 self._config_feed.record_failure()
-                self._platform_down(str(exc))
-                _green.sleep(RETRY_PLATFORM_S)
+                self._record_platform_failure(str(exc))
+                _green.sleep(PLATFORM_RETRY_DELAY_S)
                 continue
             self._config_feed.mark_caught_up()
-            if body is not None and self.offer_config(body, "platform"):
-                _green.sleep(RETRY_PLATFORM_S)
+            if body is not None and self.handle_config(body, "platform"):
+                _green.sleep(PLATFORM_RETRY_DELAY_S)
 
-    def _platform_down(self, problem: str) -> None:
-        if self._platform_up:
-            self._platform_up = False
+    def _record_platform_failure(self, problem: str) -> None:
+        if self._is_platform_available:
+            self._is_platform_available = False
             log(Event.PLATFORM_DOWN, problem)
 
-    def _platform_back(self) -> None:
-        if not self._platform_up:
-            self._platform_up = True
+    def _record_platform_response(self) -> None:
+        if not self._is_platform_available:
+            self._is_platform_available = True
             log(Event.PLATFORM_BACK)
 
     def _metrics_page(self) -> tuple[bytes, str]:
@@ -312,5 +312,5 @@
         yield Sample("dockreach_config_revision", text, revision, {}, is_counter=False)
 
 
-def _numbered(message: Admit | AttachRun, number: int) -> Admit | AttachRun:
+def _with_caller(message: Admit | AttachRun, number: int) -> Admit | AttachRun:
     return msgspec.structs.replace(message, caller=number)
--- a/dockreach/entry_tables.py
+++ b/dockreach/entry_tables.py
@@ -45,7 +45,7 @@
     """The request ended with a complete response or a refusal."""
 
 
-class Step(NamedTuple):
+class Decision(NamedTuple):
     """One decision about a request, kept for the operators' ``why`` query.
 
     Attributes:
@@ -61,14 +61,14 @@
     detail: str = ""
 
 
-MAX_STEPS = 48
+MAX_DECISIONS = 48
 """Decisions kept for one request; later ones are dropped."""
 
 
 class OfferRow(NamedTuple):
     """An agent's estimate for a request, in seconds; `starts_at` is monotonic time."""
 
-    starts: float
+    starts_at: float
     prefill_s: float
     total_s: float
 
@@ -79,26 +79,26 @@
 
     Attributes:
         caller: Number of the caller that waits for it.
-        asked: Agents that hold the request in their queues.
-        heard: Agents that have answered a hold with an offer or a grant.
-        settle_at: Until when the choice of a grant waits for answers of the other agents.
-        turned_away: Agents that dropped the hold, with their reasons.
+        asked_agents: Agents that hold the request in their queues.
+        answered_agents: Agents that have answered a hold with an offer or a grant.
+        offers_until: Until when the choice of a grant waits for answers of the other agents.
+        rejections: Agents that dropped the hold, with their reasons.
         retry_ms: Shortest retry delay that an agent suggested when it dropped the hold.
         claim: Number of the claim on the idempotency key; ``None`` until the key's owner
             has answered.
         binding: Number of the binding that the commit, or the attachment, relies on.
         refuted: Number of a binding whose agent proved that it did not run the request.
         agent: The agent that the request is bound, committed or attached to.
-        number: Number of the grant of `agent`.
+        grant_number: Number of the grant of `agent`.
         widen_at: When agents are asked again; 0 for never.
         widen_step: How often agents were asked; each step doubles the number of agents.
         next_chunk: Number of the next chunk in order.
-        taken: Chunks that were delivered to the caller.
-        taken_bytes: Bytes delivered to the caller since the last acknowledgement.
-        acked: Delivered chunks that were acknowledged to the agent.
-        ahead: Chunks that arrived before an earlier one, by number.
-        ready: Chunks in order that were not yet delivered to the caller.
-        first_chunk: When the first chunk arrived.
+        delivered_chunks: Chunks that were delivered to the caller.
+        unacked_bytes: Bytes delivered to the caller since the last acknowledgement.
+        acked_chunks: Delivered chunks that were acknowledged to the agent.
+        early_chunks: Chunks that arrived before an earlier one, by number.
+        ready_chunks: Chunks in order that were not yet delivered to the caller.
+        first_chunk_at: When the first chunk arrived.
     """
 
     rid: str
@@ -107,7 +107,7 @@
     share: float
     pool: str
     deadline: float
-    arrived: float
+    arrived_at: float
     prompt_tokens: int
     output_tokens: int
     blocks: tuple[int, ...]
@@ -121,10 +121,10 @@
     digest: str = ""
     repeatable: bool = True
     phase: Phase = Phase.WAITING
-    asked: set[str] = field(default_factory=set)
-    heard: set[str] = field(default_factory=set)
-    settle_at: float = 0.0
-    turned_away: dict[str, Reason] = field(default_factory=dict)
+    asked_agents: set[str] = field(default_factory=set)
+    answered_agents: set[str] = field(default_factory=set)
+    offers_until: float = 0.0
+    rejections: dict[str, Reason] = field(default_factory=dict)
     retry_ms: int = 0
     offers: dict[str, OfferRow] = field(default_factory=dict)
     grants: dict[str, Grant] = field(default_factory=dict)
@@ -133,25 +133,25 @@
     refuted: int = 0
     agent: str = ""
     incarnation: int = 0
-    number: int = 0
+    grant_number: int = 0
     attempts: int = 0
     widen_at: float = 0.0
     widen_step: int = 0
     unclear_until: float = 0.0
     next_chunk: int = 0
-    taken: int = 0
-    taken_bytes: int = 0
-    acked: int = 0
-    ahead: dict[int, Chunk] = field(default_factory=dict)
-    ready: deque[Chunk] = field(default_factory=deque)
-    first_chunk: float | None = None
+    delivered_chunks: int = 0
+    unacked_bytes: int = 0
+    acked_chunks: int = 0
+    early_chunks: dict[int, Chunk] = field(default_factory=dict)
+    ready_chunks: deque[Chunk] = field(default_factory=deque)
+    first_chunk_at: float | None = None
     end: Ended | None = None
     refusal: Refusal | None = None
-    finished: float = 0.0
-    steps: list[Step] = field(default_factory=list)
+    finished_at: float = 0.0
+    decisions: list[Decision] = field(default_factory=list)
 
     @property
-    def waiting(self) -> bool:
+    def is_waiting(self) -> bool:
         """Whether no agent is committed to the request."""
         return self.phase in (Phase.WAITING, Phase.BINDING)
 
@@ -163,7 +163,7 @@
     Attributes:
         linked: Whether its link is up and its heartbeats arrive.
         leaving: Whether the agent or its VM reported that it is leaving or not ready.
-        closed_until: Until when it is not asked again, because it accepted no new work.
+        not_asked_until: Until when it is not asked again, because it accepted no new work.
         age_s: Time since the agent's start when the link came up.
     """
 
@@ -173,7 +173,7 @@
     incarnation: int
     linked: bool = True
     leaving: bool = False
-    closed_until: float = 0.0
+    not_asked_until: float = 0.0
     age_s: float = 0.0
 
 
@@ -182,42 +182,42 @@
     """Limits and timeouts of an entry, in seconds, bytes or counts.
 
     Attributes:
-        ask_all_up_to: Largest pool of which all agents are asked at once.
-        first_asked: Agents that are asked first in a larger pool.
-        settle_s: How long the choice of a grant waits for the answers of all asked agents.
-        closed_s: Delay before an agent that accepted no new work is asked again.
-        patience_s: How long a request waits while no agent of its pool accepts new work.
-        widen_after_s: How long a request waits for a grant before more agents are asked.
+        max_ask_all: Largest pool of which all agents are asked at once.
+        initial_agents: Agents that are asked first in a larger pool.
+        offers_wait_s: How long the choice of a grant waits for the answers of all asked agents.
+        reask_delay_s: Delay before an agent that accepted no new work is asked again.
+        no_agent_timeout_s: How long a request waits while no agent of its pool accepts new work.
+        widen_delay_s: How long a request waits for a grant before more agents are asked.
         grace_s: Time past its deadline that a dispatched request may still run.
         unclear_s: How long an entry waits for a committed agent whose link was lost,
             before the caller gets an uncertain refusal.
         waiting_bytes: Memory limit for the bodies of waiting requests.
-        floor_at: Fraction of that memory above which the floor (the lowest accepted tier)
+        floor_fraction: Fraction of that memory above which the floor (the lowest accepted tier)
             is raised.
         floor_lease_s: How long a raised floor holds.
         max_attempts: Dispatches of one request; each but the last was proved not to have
             run.
-        kept_ended: Ended requests that are kept for the ``why`` query.
-        decline_margin: A grant is declined when the best offer costs less than this
+        max_ended: Ended requests that are kept for the ``why`` query.
+        decline_ratio: A grant is declined when the best offer costs less than this
             fraction of it.
-        ahead_limit: Chunks of one response that are kept while an earlier one is missing.
+        max_early_chunks: Chunks of one response that are kept while an earlier one is missing.
     """
 
-    ask_all_up_to: int = 8
-    first_asked: int = 4
-    settle_s: float = 0.02
-    closed_s: float = 0.25
-    patience_s: float = 2.0
-    widen_after_s: float = 0.1
+    max_ask_all: int = 8
+    initial_agents: int = 4
+    offers_wait_s: float = 0.02
+    reask_delay_s: float = 0.25
+    no_agent_timeout_s: float = 2.0
+    widen_delay_s: float = 0.1
     grace_s: float = 60.0
     unclear_s: float = 5.0
     waiting_bytes: int = 16 << 20
-    floor_at: float = 0.75
+    floor_fraction: float = 0.75
     floor_lease_s: float = 1.0
     max_attempts: int = 4
-    kept_ended: int = 500
-    decline_margin: float = 0.8
-    ahead_limit: int = 4096
+    max_ended: int = 500
+    decline_ratio: float = 0.8
+    max_early_chunks: int = 4096
 
 
 class Admit(msgspec.Struct, frozen=True):
@@ -256,7 +256,7 @@
     caller: int = 0
 
 
-class Taken(msgspec.Struct, frozen=True):
+class ChunksDelivered(msgspec.Struct, frozen=True):
     """Shell to core: all chunks below `upto` were delivered; `size` bytes are new."""
 
     rid: str
@@ -339,19 +339,19 @@
 
     Attributes:
         tokens: Retries that may be made now.
-        ceiling: Upper limit of `tokens`.
-        earn: Tokens that each admitted request adds.
+        max_tokens: Upper limit of `tokens`.
+        tokens_per_request: Tokens that each admitted request adds.
     """
 
     tokens: float = 10.0
-    ceiling: float = 50.0
-    earn: float = 0.1
+    max_tokens: float = 50.0
+    tokens_per_request: float = 0.1
 
-    def admit(self) -> None:
+    def record_request(self) -> None:
         """Add the tokens of one admitted request."""
-        self.tokens = min(self.ceiling, self.tokens + self.earn)
+        self.tokens = min(self.max_tokens, self.tokens + self.tokens_per_request)
 
-    def spend(self) -> bool:
+    def try_acquire(self) -> bool:
         """Use one token; return whether there was one."""
         if self.tokens < 1.0:
             return False
@@ -360,18 +360,18 @@
 
 
 @dataclass(slots=True)
-class Relay:
+class RebuildRelay:
     """A restarted owner's `RebuildAsk` that this entry relays to its peers.
 
     Attributes:
         incarnation: The owner's incarnation.
-        waiting: Peers whose replies are outstanding.
-        silent: Agents that could not be asked.
+        pending_peers: Peers whose replies are outstanding.
+        silent_agents: Agents that could not be asked.
     """
 
     incarnation: int
-    waiting: set[str]
-    silent: set[str] = field(default_factory=set)
+    pending_peers: set[str]
+    silent_agents: set[str] = field(default_factory=set)
 
 
 @dataclass(slots=True)
@@ -386,15 +386,15 @@
         requests: Requests in progress, by id.
         waiting: Requests without a commit, by tier and id.
         waiting_bytes: Size of their bodies.
-        at_agent: Ids of the requests that each agent holds or runs.
+        requests_at_agent: Ids of the requests that each agent holds or runs.
         timers: Heap of the times at which requests are checked.
         undecided: Ids of the requests whose grants are examined in this tick.
         to_ack: Ids of the requests with deliveries to acknowledge.
         ended: The last ended requests, the oldest first.
-        woken: Requests whose callers are woken after this tick, by caller number.
+        callers_to_wake: Requests whose callers are woken after this tick, by caller number.
         floor_tier: Lowest tier that is accepted until `floor_until`.
-        floor_sent: When this entry last sent its floor to its peers.
-        gone: Agents whose VMs no longer exist.
+        floor_sent_at: When this entry last sent its floor to its peers.
+        removed_agents: Agents whose VMs no longer exist.
     """
 
     name: str
@@ -412,19 +412,19 @@
     requests: dict[str, RequestRow] = field(default_factory=dict)
     waiting: dict[int, dict[str, RequestRow]] = field(default_factory=dict)
     waiting_bytes: int = 0
-    at_agent: dict[str, set[str]] = field(default_factory=dict)
+    requests_at_agent: dict[str, set[str]] = field(default_factory=dict)
     timers: list[tuple[float, str]] = field(default_factory=list)
     undecided: set[str] = field(default_factory=set)
     to_ack: set[str] = field(default_factory=set)
     ended: deque[RequestRow] = field(default_factory=deque)
-    woken: dict[int, RequestRow] = field(default_factory=dict)
+    callers_to_wake: dict[int, RequestRow] = field(default_factory=dict)
     history: OutcomeHistory = field(default_factory=OutcomeHistory)
-    budget: RetryBudget = field(default_factory=RetryBudget)
+    retry_budget: RetryBudget = field(default_factory=RetryBudget)
     floor_tier: int | None = None
     floor_until: float = 0.0
-    floor_sent: float = float("-inf")
-    relays: dict[str, Relay] = field(default_factory=dict)
-    gone: set[str] = field(default_factory=set)
+    floor_sent_at: float = float("-inf")
+    rebuild_relays: dict[str, RebuildRelay] = field(default_factory=dict)
+    removed_agents: set[str] = field(default_factory=set)
     counters: EntryCounters = field(default_factory=EntryCounters)
     outbox: list[tuple[str, AnyMessage]] = field(default_factory=list)
 
@@ -432,16 +432,18 @@
         """Queue a message for a peer; it is sent at the end of the tick."""
         self.outbox.append((peer, message))
 
-    def note(self, req: RequestRow, event: str, peer: str = "", detail: str = "") -> None:
+    def record_decision(
+        self, req: RequestRow, event: str, peer: str = "", detail: str = ""
+    ) -> None:
         """Record a decision about a request."""
-        if len(req.steps) < MAX_STEPS:
-            req.steps.append(Step(self.now, event, peer, detail))
+        if len(req.decisions) < MAX_DECISIONS:
+            req.decisions.append(Decision(self.now, event, peer, detail))
 
-    def wake_at(self, when: float, rid: str) -> None:
+    def schedule_check(self, when: float, rid: str) -> None:
         """Have the timer system check a request at the given time."""
         heapq.heappush(self.timers, (when, rid))
 
-    def enter_waiting(self, req: RequestRow) -> None:
+    def add_waiting(self, req: RequestRow) -> None:
         """Add a request to the waiting ones; its body counts towards their memory."""
         req.phase = Phase.WAITING
         table = self.waiting.setdefault(req.tier, {})
@@ -450,7 +452,7 @@
             self.waiting_bytes += len(req.body)
         self.undecided.add(req.rid)
 
-    def leave_waiting(self, req: RequestRow) -> None:
+    def remove_waiting(self, req: RequestRow) -> None:
         """Remove a request from the waiting ones."""
         table = self.waiting.get(req.tier, {})
         if table.pop(req.rid, None) is not None:
--- a/dockreach/granting.py
+++ b/dockreach/granting.py
@@ -14,7 +14,7 @@
 from .queueing import Hold, Lane
 from .verdict import Reason
 
-MILLIS = 1000
+MS_PER_S = 1000
 MAX_DECLINE_PAUSE_S = 1.0
 
 
@@ -30,20 +30,22 @@
     if world.closed:
         _displace(world, message.rid, peer, Reason.STOPPING)
         return
-    if _below_floor(world, message.tier):
+    if _is_below_floor(world, message.tier):
         _displace(world, message.rid, peer, Reason.FLOOR)
         return
-    hold = _hold_row(world, message, peer)
-    if _hopeless(world, hold) or _would_wait_too_long(world, hold):
+    hold = _to_hold(world, message, peer)
+    if _would_run_too_long(world, hold) or _would_wait_too_long(world, hold):
         world.counters.hopeless += 1
         _displace(world, hold.rid, peer, Reason.HOPELESS)
         return
     world.holds[hold.rid] = hold
-    world.last_seen[hold.tier, hold.lane] = world.now
+    world.last_hold_at[hold.tier, hold.lane] = world.now
     world.queue.add(hold)
-    world.drain.waiting(hold.tier, world.queue.in_tier(hold.tier), world.now)
-    world.unanswered.append(hold)
-    _shed(world)
+    world.drain_rate.record_waiting(
+        hold.tier, world.queue.count_in_tier(hold.tier), world.now
+    )
+    world.awaiting_offer.append(hold)
+    _enforce_queue_limit(world)
 
 
 @receive.register
@@ -52,7 +54,7 @@
     if hold is None or hold.entry != peer:
         return
     if message.served:
-        world.drain.served(hold.tier, world.now)
+        world.drain_rate.record_served(hold.tier, world.now)
     drop_hold(world, hold)
 
 
@@ -68,18 +70,18 @@
     pause = world.policy.decline_pause_s * 2**hold.declines
     hold.declines += 1
     until = world.now + min(pause, MAX_DECLINE_PAUSE_S)
-    heapq.heappush(world.paused, (until, hold.rid))
+    heapq.heappush(world.paused_holds, (until, hold.rid))
 
 
 @receive.register
 def _(message: Floor, world: AgentWorld, peer: str) -> None:
-    until = world.now + message.lease_ms / MILLIS
+    until = world.now + message.lease_ms / MS_PER_S
     current = world.floor_tier if world.now < world.floor_until else None
-    if current is None or message.tier <= current or world.floor_by == peer:
+    if current is None or message.tier <= current or world.floor_sender == peer:
         world.floor_tier = message.tier
         world.floor_until = until
-        world.floor_by = peer
-    for hold in [row for row in world.queue if _below_floor(world, row.tier)]:
+        world.floor_sender = peer
+    for hold in [row for row in world.queue if _is_below_floor(world, row.tier)]:
         drop_hold(world, hold)
         _displace(world, hold.rid, hold.entry, Reason.FLOOR)
 
@@ -90,10 +92,12 @@
     world.holds.pop(hold.rid, None)
     if world.grants.pop(hold.rid, None) is not None:
         world.queue.refund(hold)
-    world.drain.waiting(hold.tier, world.queue.in_tier(hold.tier), world.now)
+    world.drain_rate.record_waiting(
+        hold.tier, world.queue.count_in_tier(hold.tier), world.now
+    )
 
 
-def close(world: AgentWorld) -> None:
+def displace_when_closed(world: AgentWorld) -> None:
     """System: displace all holds without a grant when no new work may start here."""
     if not world.closed:
         return
@@ -106,136 +110,136 @@
 
 def resume_paused(world: AgentWorld) -> None:
     """System: queue declined holds again after their delay."""
-    while world.paused and world.paused[0][0] <= world.now:
-        _, rid = heapq.heappop(world.paused)
+    while world.paused_holds and world.paused_holds[0][0] <= world.now:
+        _, rid = heapq.heappop(world.paused_holds)
         hold = world.holds.get(rid)
-        if hold is not None and not hold.queued and rid not in world.grants:
+        if hold is not None and not hold.is_queued and rid not in world.grants:
             world.queue.add(hold)
 
 
 def expire_grants(world: AgentWorld) -> None:
     """System: void grants that were not used within their lease."""
-    expired = [row for row in world.grants.values() if row.expires <= world.now]
+    expired = [row for row in world.grants.values() if row.expires_at <= world.now]
     for grant in expired:
         drop_hold(world, grant.hold)
         _displace(world, grant.hold.rid, grant.hold.entry, Reason.GRANT_VOID)
 
 
-def grant(world: AgentWorld) -> None:
+def grant_holds(world: AgentWorld) -> None:
     """System: grant slots to the best holds while the engine has free ones."""
-    world.model.adjust(world.now)
-    if world.closed or world.model.suspect(world.now) or world.now < world.busy_until:
+    world.model.adjust_window(world.now)
+    if world.closed or world.model.is_suspect(world.now) or world.now < world.backoff_until:
         return
     while True:
-        hold = world.queue.pick(lambda tier, lane: _room(world, tier, lane))
+        hold = world.queue.pick(lambda tier, lane: _has_room(world, tier, lane))
         if hold is None:
             return
         world.queue.remove(hold)
-        if _hopeless(world, hold):
+        if _would_run_too_long(world, hold):
             world.counters.hopeless += 1
             drop_hold(world, hold)
             _displace(world, hold.rid, hold.entry, Reason.HOPELESS)
             continue
-        _give(world, hold)
+        _send_grant(world, hold)
 
 
-RESERVE_MEMORY_S = 15.0
+RESERVATION_S = 15.0
 """How long slots stay reserved for a kind of request after the last hold of it."""
 
 
-def _room(world: AgentWorld, tier: int, lane: Lane) -> bool:
+def _has_room(world: AgentWorld, tier: int, lane: Lane) -> bool:
     """Return whether a request of this tier and lane may use a slot now.
 
     Some slots are reserved for higher tiers, and from long requests some more for short
     ones of the same tier or a higher one, as long as such requests arrive. No slots are
     reserved for lower tiers.
     """
-    free = int(world.model.window) - world.active
-    slots = world.model.reserve()
+    free = int(world.model.window) - world.slots_in_use
+    slots = world.model.reserved_slots()
     reserved = 0
-    if _seen(world, tier - 1, Lane.LONG):
+    if _was_seen_recently(world, tier - 1, Lane.LONG):
         reserved += slots
-    if lane is Lane.LONG and _seen(world, tier, Lane.SHORT):
+    if lane is Lane.LONG and _was_seen_recently(world, tier, Lane.SHORT):
         reserved += slots
     return free > reserved
 
 
-def _seen(world: AgentWorld, lowest: int, longest: Lane) -> bool:
+def _was_seen_recently(world: AgentWorld, lowest: int, longest: Lane) -> bool:
     """Return whether a hold of at least this tier and at most this length came recently."""
-    since = world.now - RESERVE_MEMORY_S
+    since = world.now - RESERVATION_S
     return any(
         at > since and tier <= lowest and lane <= longest
-        for (tier, lane), at in world.last_seen.items()
+        for (tier, lane), at in world.last_hold_at.items()
     )
 
 
-def _give(world: AgentWorld, hold: Hold) -> None:
+def _send_grant(world: AgentWorld, hold: Hold) -> None:
     world.grant_number += 1
     world.counters.grants += 1
     world.queue.charge(hold)
     cached = world.prefix.cached_tokens(hold.blocks)
     expires = world.now + world.policy.grant_lease_s
     world.grants[hold.rid] = GrantRow(hold, world.grant_number, expires, cached)
-    prefill, total = _times(world, hold, cached)
+    prefill, total = _estimate_times(world, hold, cached)
     message = Grant(
         rid=hold.rid,
         number=world.grant_number,
         incarnation=world.incarnation,
-        lease_ms=int(world.policy.grant_lease_s * MILLIS),
+        lease_ms=int(world.policy.grant_lease_s * MS_PER_S),
         cached_tokens=cached,
-        prefill_ms=int(prefill * MILLIS),
-        total_ms=int(total * MILLIS),
+        prefill_ms=int(prefill * MS_PER_S),
+        total_ms=int(total * MS_PER_S),
     )
     world.send(hold.entry, message)
 
 
-def _hold_row(world: AgentWorld, message: HoldMessage, peer: str) -> Hold:
+def _to_hold(world: AgentWorld, message: HoldMessage, peer: str) -> Hold:
     hold = Hold(
         rid=message.rid,
         entry=peer,
         organisation=message.organisation,
         tier=message.tier,
-        deadline=world.now + message.deadline_ms / MILLIS,
+        deadline=world.now + message.deadline_ms / MS_PER_S,
         prompt_tokens=message.prompt_tokens,
         output_tokens=message.output_tokens,
         share=message.share,
         blocks=message.blocks,
-        arrived=world.now,
+        arrived_at=world.now,
     )
-    if hold.cost > world.policy.short_cost:
+    if hold.cost > world.policy.max_short_cost:
         hold.lane = Lane.LONG
     return hold
 
 
-def _times(world: AgentWorld, hold: Hold, cached: int) -> tuple[float, float]:
+def _estimate_times(world: AgentWorld, hold: Hold, cached: int) -> tuple[float, float]:
     """Return the estimated seconds from the start to the first token and to the end."""
     uncached = max(1, hold.prompt_tokens - cached)
     prefill = world.model.prefill_s(uncached)
     return prefill, prefill + world.model.decode_s(hold.output_tokens)
 
 
-def _wait(world: AgentWorld, hold: Hold) -> float:
-    free = int(world.model.window) - world.active
-    return world.model.wait_s(world.queue.ahead_of(hold.tier), free)
+def _estimate_wait_s(world: AgentWorld, hold: Hold) -> float:
+    free = int(world.model.window) - world.slots_in_use
+    return world.model.wait_s(world.queue.count_ahead_of(hold.tier), free)
 
 
-def _hopeless(world: AgentWorld, hold: Hold) -> bool:
+def _would_run_too_long(world: AgentWorld, hold: Hold) -> bool:
     """Return whether the answer would miss its deadline even if started now.
 
     The expected wait in the queue is left out, because it is only a rough estimate and
     holds ahead may be withdrawn. The engine's own time is based on measurements.
     """
     cached = world.prefix.cached_tokens(hold.blocks)
-    total = _times(world, hold, cached)[1]
-    return world.now + world.model.safe_s(total) > hold.deadline
+    total = _estimate_times(world, hold, cached)[1]
+    return world.now + world.model.pessimistic_s(total) > hold.deadline
 
 
-def offer(world: AgentWorld) -> None:
+def send_offers(world: AgentWorld) -> None:
     """System: send an estimate for each new hold that was not granted immediately."""
-    for hold in world.unanswered:
-        if hold.queued:
-            _offer(world, hold)
-    world.unanswered.clear()
+    for hold in world.awaiting_offer:
+        if hold.is_queued:
+            _send_offer(world, hold)
+    world.awaiting_offer.clear()
 
 
 MAX_RETRY_S = 30.0
@@ -245,7 +249,7 @@
 They use the slots that become free if the estimated wait was too long.
 """
 
-WAIT_TRUST = 0.5
+COUNTED_WAIT_FRACTION = 0.5
 """Fraction of an estimated wait that counts when a hold is rejected early."""
 
 
@@ -256,30 +260,30 @@
     deadline. While a lower tier is queued here, only holds of the lowest tier are
     rejected, because the slots that they give up go to the higher ones.
     """
-    if world.queue.any_below(hold.tier):
+    if world.queue.has_lower_tier(hold.tier):
         return False
-    count = world.queue.in_tier(hold.tier)
+    count = world.queue.count_in_tier(hold.tier)
     if count < MIN_QUEUE_FACTOR * world.model.slots:
         return False
-    wait = world.drain.wait_s(hold.tier, count, world.now)
-    total = _times(world, hold, world.prefix.cached_tokens(hold.blocks))[1]
-    return world.now + WAIT_TRUST * wait + total > hold.deadline
+    wait = world.drain_rate.wait_s(hold.tier, count, world.now)
+    total = _estimate_times(world, hold, world.prefix.cached_tokens(hold.blocks))[1]
+    return world.now + COUNTED_WAIT_FRACTION * wait + total > hold.deadline
 
 
-def _offer(world: AgentWorld, hold: Hold) -> None:
+def _send_offer(world: AgentWorld, hold: Hold) -> None:
     cached = world.prefix.cached_tokens(hold.blocks)
-    prefill, total = _times(world, hold, cached)
+    prefill, total = _estimate_times(world, hold, cached)
     message = Offer(
         rid=hold.rid,
         cached_tokens=cached,
-        wait_ms=int(_wait(world, hold) * MILLIS),
-        prefill_ms=int(prefill * MILLIS),
-        total_ms=int(total * MILLIS),
+        wait_ms=int(_estimate_wait_s(world, hold) * MS_PER_S),
+        prefill_ms=int(prefill * MS_PER_S),
+        total_ms=int(total * MS_PER_S),
     )
     world.send(hold.entry, message)
 
 
-def _shed(world: AgentWorld) -> None:
+def _enforce_queue_limit(world: AgentWorld) -> None:
     while len(world.queue) > world.policy.queue_limit:
         hold = world.queue.newest_of_lowest_tier()
         if hold is None:
@@ -289,7 +293,7 @@
         _displace(world, hold.rid, hold.entry, Reason.SHED)
 
 
-def _below_floor(world: AgentWorld, tier: int) -> bool:
+def _is_below_floor(world: AgentWorld, tier: int) -> bool:
     if world.floor_tier is None or world.now >= world.floor_until:
         return False
     return tier > world.floor_tier
@@ -297,8 +301,8 @@
 
 def _displace(world: AgentWorld, rid: str, entry: str, reason: Reason) -> None:
     waits = (
-        world.drain.wait_s(tier, world.queue.in_tier(tier), world.now)
+        world.drain_rate.wait_s(tier, world.queue.count_in_tier(tier), world.now)
         for tier in world.queue.tiers()
     )
     retry_s = min(MAX_RETRY_S, max(waits, default=0.0))
-    world.send(entry, Displaced(rid=rid, reason=reason, retry_ms=int(retry_s * MILLIS)))
+    world.send(entry, Displaced(rid=rid, reason=reason, retry_ms=int(retry_s * MS_PER_S)))
--- a/dockreach/lending.py
+++ b/dockreach/lending.py
@@ -27,7 +27,7 @@
     world.limits.borrow(message)
 
 
-def borrow(world: EntryWorld) -> None:
+def ask_for_loans(world: EntryWorld) -> None:
     """System: ask a random entry for a loan for each organisation that lacks capacity."""
     if not world.entries:
         return
--- a/dockreach/limits.py
+++ b/dockreach/limits.py
@@ -26,13 +26,13 @@
 LOAN_MARGIN_S = 0.5
 """How much earlier the borrower's lease ends than the lender's."""
 
-LEND_AT_MOST = 0.5
+MAX_LEND_FRACTION = 0.5
 """Largest fraction of its remaining share that an entry lends in one loan."""
 
 BURST_S = 1.0
 """Size of a rate limit's bucket, in seconds at the limited rate."""
 
-ASK_EVERY_S = 0.5
+MIN_ASK_INTERVAL_S = 0.5
 """Shortest time between two requests for loans for one organisation."""
 
 DEMAND_GAIN = 0.5
@@ -42,7 +42,7 @@
     """A part of a share that is lent until a monotonic time."""
 
     amount: float
-    until: float
+    expires_at: float
 
 
 @dataclass(slots=True)
@@ -50,32 +50,32 @@
     """One entry's share of one organisation's limits.
 
     Attributes:
-        own: The declared share, as a fraction of the limits.
+        own_fraction: The declared share, as a fraction of the limits.
         slots: Concurrent requests that this entry may admit.
         lent: Parts lent to other entries, which this entry does not use.
         borrowed: Parts borrowed from other entries.
-        tokens: Level of the token rate's bucket. It may fall below zero, as a request is
+        tokens_left: Level of the token rate's bucket. It may fall below zero, as a request is
             admitted while the level is positive and then subtracts all its tokens.
-        requests: Level of the request rate's bucket.
+        requests_left: Level of the request rate's bucket.
         running: Admitted requests that have not ended.
-        filled: When the buckets were last refilled.
-        demand: Requests seen since the start, refused ones included.
-        refused: Requests refused since this entry last asked for a loan.
-        asked: When this entry last asked for a loan.
+        refilled_at: When the buckets were last refilled.
+        requests_seen: Requests seen since the start, refused ones included.
+        refused_since_ask: Requests refused since this entry last asked for a loan.
+        last_asked_at: When this entry last asked for a loan.
         ask_number: Number of that request for a loan.
     """
 
-    own: float
+    own_fraction: float
     slots: int = 0
     lent: list[Loan] = field(default_factory=list)
     borrowed: list[Loan] = field(default_factory=list)
-    tokens: float = 0.0
-    requests: float = 0.0
+    tokens_left: float = 0.0
+    requests_left: float = 0.0
     running: int = 0
-    filled: float = 0.0
-    demand: int = 0
-    refused: int = 0
-    asked: float = float("-inf")
+    refilled_at: float = 0.0
+    requests_seen: int = 0
+    refused_since_ask: int = 0
+    last_asked_at: float = float("-inf")
     ask_number: int = 0
 
     def fraction(self, now: float) -> float:
@@ -83,11 +83,11 @@
 
         Loans that have expired are dropped.
         """
-        self.lent = [loan for loan in self.lent if loan.until > now]
-        self.borrowed = [loan for loan in self.borrowed if loan.until > now]
+        self.lent = [loan for loan in self.lent if loan.expires_at > now]
+        self.borrowed = [loan for loan in self.borrowed if loan.expires_at > now]
         lent = sum(loan.amount for loan in self.lent)
         borrowed = sum(loan.amount for loan in self.borrowed)
-        return max(0.0, self.own - lent) + borrowed
+        return max(0.0, self.own_fraction - lent) + borrowed
 
 
 class Shortage(NamedTuple):
@@ -117,12 +117,12 @@
 
     entry: str
     started: float = 0.0
-    quiet_s: float = LOAN_LEASE_S + LOAN_MARGIN_S
+    old_loans_s: float = LOAN_LEASE_S + LOAN_MARGIN_S
     organisations: dict[str, Organisation] = field(default_factory=dict)
     entries: tuple[str, ...] = ()
     shares: dict[str, Share] = field(default_factory=dict)
-    asks: dict[tuple[str, int], float] = field(default_factory=dict)
-    _settled_at: float | None = None
+    asked_at: dict[tuple[str, int], float] = field(default_factory=dict)
+    _increase_at: float | None = None
 
     def configure(
         self,
@@ -140,42 +140,44 @@
         self.entries = entries
         has_increase = False
         for name, organisation in organisations.items():
-            target = self._target(name, organisation)
-            share = self.shares.setdefault(name, Share(own=0.0, filled=now))
-            has_increase |= target.own > share.own or target.slots > share.slots
-            share.own = min(share.own, target.own)
+            target = self._declared_share(name, organisation)
+            share = self.shares.setdefault(name, Share(own_fraction=0.0, refilled_at=now))
+            has_increase |= (
+                target.own_fraction > share.own_fraction or target.slots > share.slots
+            )
+            share.own_fraction = min(share.own_fraction, target.own_fraction)
             share.slots = min(share.slots, target.slots)
         for name in [name for name in self.shares if name not in organisations]:
             del self.shares[name]
-        self._settled_at = now + settle_s if has_increase else None
-        self.settle(now)
+        self._increase_at = now + settle_s if has_increase else None
+        self.apply_increases(now)
 
-    def settle(self, now: float) -> None:
+    def apply_increases(self, now: float) -> None:
         """Apply larger shares once all entries have applied the smaller ones."""
-        if self._settled_at is None or now < self._settled_at:
+        if self._increase_at is None or now < self._increase_at:
             return
-        self._settled_at = None
+        self._increase_at = None
         for name, organisation in self.organisations.items():
-            target = self._target(name, organisation)
-            self.shares[name].own = target.own
+            target = self._declared_share(name, organisation)
+            self.shares[name].own_fraction = target.own_fraction
             self.shares[name].slots = target.slots
 
-    def _target(self, name: str, organisation: Organisation) -> Share:
+    def _declared_share(self, name: str, organisation: Organisation) -> Share:
         """Return this entry's declared share of an organisation's limits.
 
         Slots that are left over by an equal split go to the entries that rank first.
         """
         if self.entry not in self.entries:
-            return Share(own=0.0)
+            return Share(own_fraction=0.0)
         count = len(self.entries)
         slots, rest = divmod(organisation.concurrency, count)
         has_extra_slot = self.entry in ranked(name, self.entries)[:rest]
-        return Share(own=1.0 / count, slots=slots + int(has_extra_slot))
+        return Share(own_fraction=1.0 / count, slots=slots + int(has_extra_slot))
 
-    def usable(self, name: str, now: float) -> float:
+    def usable_fraction(self, name: str, now: float) -> float:
         """Return the fraction of an organisation's limits that this entry may use now."""
         share = self.shares.get(name)
-        if share is None or now < self.started + self.quiet_s:
+        if share is None or now < self.started + self.old_loans_s:
             return 0.0
         return share.fraction(now)
 
@@ -192,20 +194,20 @@
         """
         organisation = self.organisations[name]
         share = self.shares[name]
-        share.demand += 1
-        if not _limited(organisation):
+        share.requests_seen += 1
+        if not _has_limits(organisation):
             share.running += 1
             return None
-        self.settle(now)
-        fraction = self.usable(name, now)
-        self._fill(share, organisation, fraction, now)
+        self.apply_increases(now)
+        fraction = self.usable_fraction(name, now)
+        self._refill(share, organisation, fraction, now)
         retry = _retry_after(share, organisation, fraction)
         if retry is not None:
-            share.refused += 1
+            share.refused_since_ask += 1
             return retry
         share.running += 1
-        share.requests -= 1
-        share.tokens -= tokens
+        share.requests_left -= 1
+        share.tokens_left -= tokens
         return None
 
     def release(self, name: str) -> None:
@@ -222,13 +224,16 @@
         """
         found = []
         for name, share in self.shares.items():
-            if share.refused == 0 or now - share.asked < ASK_EVERY_S:
+            if (
+                share.refused_since_ask == 0
+                or now - share.last_asked_at < MIN_ASK_INTERVAL_S
+            ):
                 continue
-            share.refused = 0
-            share.asked = now
+            share.refused_since_ask = 0
+            share.last_asked_at = now
             share.ask_number += 1
-            self.asks[(name, share.ask_number)] = now
-            found.append(Shortage(name, share.ask_number, share.own))
+            self.asked_at[(name, share.ask_number)] = now
+            found.append(Shortage(name, share.ask_number, share.own_fraction))
         return found
 
     def lend(self, name: str, wanted: float, now: float) -> float:
@@ -242,37 +247,41 @@
         organisation = self.organisations.get(name)
         if share is None or organisation is None:
             return 0.0
-        if now < self.started + self.quiet_s or share.refused:
+        if now < self.started + self.old_loans_s or share.refused_since_ask:
             return 0.0
-        spare = share.own - sum(loan.amount for loan in share.lent if loan.until > now)
-        amount = min(wanted, spare * LEND_AT_MOST)
+        spare = share.own_fraction - sum(
+            loan.amount for loan in share.lent if loan.expires_at > now
+        )
+        amount = min(wanted, spare * MAX_LEND_FRACTION)
         if amount < 0.01:
             return 0.0
         share.lent.append(Loan(amount, now + LOAN_LEASE_S))
-        self._fill(share, organisation, share.fraction(now), now)
+        self._refill(share, organisation, share.fraction(now), now)
         return amount
 
     def borrow(self, loan: ShareLoan) -> None:
         """Use a loan until its lease ends, counted from when this entry requested it."""
-        asked = self.asks.pop((loan.organisation, loan.number), None)
+        asked = self.asked_at.pop((loan.organisation, loan.number), None)
         share = self.shares.get(loan.organisation)
         if asked is None or share is None:
             return
         until = asked + loan.lease_ms / 1000 - LOAN_MARGIN_S
         share.borrowed.append(Loan(loan.amount, until))
 
-    def _fill(
+    def _refill(
         self, share: Share, organisation: Organisation, fraction: float, now: float
     ) -> None:
-        elapsed = max(0.0, now - share.filled)
-        share.filled = now
+        elapsed = max(0.0, now - share.refilled_at)
+        share.refilled_at = now
         rate = organisation.tokens_per_s * fraction
-        share.tokens = min(rate * BURST_S, share.tokens + rate * elapsed)
+        share.tokens_left = min(rate * BURST_S, share.tokens_left + rate * elapsed)
         rate = organisation.requests_per_s * fraction
-        share.requests = min(max(rate * BURST_S, 1.0), share.requests + rate * elapsed)
+        share.requests_left = min(
+            max(rate * BURST_S, 1.0), share.requests_left + rate * elapsed
+        )
 
 
-def _limited(organisation: Organisation) -> bool:
+def _has_limits(organisation: Organisation) -> bool:
     return bool(
         organisation.requests_per_s or organisation.tokens_per_s or organisation.concurrency
     )
@@ -281,13 +290,15 @@
 def _retry_after(share: Share, organisation: Organisation, fraction: float) -> float | None:
     if organisation.concurrency and share.running >= share.slots:
         return 1.0
-    if organisation.requests_per_s and share.requests < 1.0:
-        return _time_to(1.0 - share.requests, organisation.requests_per_s * fraction)
-    if organisation.tokens_per_s and share.tokens <= 0.0:
-        return _time_to(1.0 - share.tokens, organisation.tokens_per_s * fraction)
+    if organisation.requests_per_s and share.requests_left < 1.0:
+        return _refill_time_s(
+            1.0 - share.requests_left, organisation.requests_per_s * fraction
+        )
+    if organisation.tokens_per_s and share.tokens_left <= 0.0:
+        return _refill_time_s(1.0 - share.tokens_left, organisation.tokens_per_s * fraction)
     return None
 
 
-def _time_to(amount: float, rate: float) -> float:
+def _refill_time_s(amount: float, rate: float) -> float:
     longest = 30.0
     return min(longest, amount / rate) if rate > 0 else 1.0
--- a/dockreach/link.py
+++ b/dockreach/link.py
@@ -20,17 +20,17 @@
 from .errors import WireError
 from .messages import AnyMessage, Heartbeat, Hello, decode, encode
 
-METHOD = "/dockreach.Link/Exchange"
+LINK_METHOD = "/dockreach.Link/Exchange"
 """Path of the gRPC method of the stream."""
 
-HEARTBEAT_S = 1.0
-LEASE_S = 3.0
+HEARTBEAT_INTERVAL_S = 1.0
+PEER_TIMEOUT_S = 3.0
 """Time without a message after which a peer counts as lost."""
 
-REDIAL_S = 0.5
+REDIAL_DELAY_S = 0.5
 """Delay before an address is dialled again."""
 
-MAX_BACKLOG = 20_000
+MAX_PENDING_MESSAGES = 20_000
 """Messages waiting to be sent to one peer above which its link is closed."""
 
 MAX_MESSAGE_BYTES = 8 << 20
@@ -47,7 +47,7 @@
 )
 
 
-class LinkEvents(Protocol):
+class LinkHandler(Protocol):
     """What a daemon provides to its links, and how it handles their events.
 
     No method may block.
@@ -74,7 +74,7 @@
         ...
 
 
-class LinkCount(NamedTuple):
+class LinkTraffic(NamedTuple):
     """Traffic of all links since the start; messages and batches are those sent."""
 
     batches: int
@@ -89,28 +89,28 @@
     Attributes:
         name: The peer's name; empty until its hello arrives.
         dialled: Whether this side opened the stream.
-        heard: Monotonic time at which the last batch arrived.
+        received_at: Monotonic time at which the last batch arrived.
         pending: Messages to send with the next batch.
-        ready: Set when the pending messages are to be sent.
+        flush_requested: Set when the pending messages are to be sent.
     """
 
     def __init__(self, *, dialled: bool) -> None:
         self.name = ""
         self.dialled = dialled
         self.incarnation = 0
-        self.heard = clock.now()
+        self.received_at = clock.now()
         self.pending: list[AnyMessage] = []
-        self.ready = asyncio.Event()
+        self.flush_requested = asyncio.Event()
         self.closed = False
 
     def push(self, message: AnyMessage) -> None:
         self.pending.append(message)
-        if len(self.pending) > MAX_BACKLOG:
+        if len(self.pending) > MAX_PENDING_MESSAGES:
             self.close()
 
     def close(self) -> None:
         self.closed = True
-        self.ready.set()
+        self.flush_requested.set()
 
 
 class Links:
@@ -120,26 +120,28 @@
         events: The daemon, which handles what the links receive.
     """
 
-    def __init__(self, events: LinkEvents) -> None:
-        self._events = events
+    def __init__(self, events: LinkHandler) -> None:
+        self._handler = events
         self._links: dict[str, _Link] = {}
         self._dialled: dict[str, bool] = {}
-        self._newest: dict[str, int] = {}
+        self._newest_incarnations: dict[str, int] = {}
         self._server: Any = None
         self.batches = 0
         self.messages = 0
         self.sent_bytes = 0
         self.received_bytes = 0
-        self.invalid = 0
+        self.invalid_batches = 0
 
     @property
     def peers(self) -> list[str]:
         """Names of the linked peers."""
         return list(self._links)
 
-    def count(self) -> LinkCount:
+    def traffic(self) -> LinkTraffic:
         """Return the traffic of all links since the start."""
-        return LinkCount(self.batches, self.messages, self.sent_bytes, self.received_bytes)
+        return LinkTraffic(
+            self.batches, self.messages, self.sent_bytes, self.received_bytes
+        )
 
     def send(self, name: str, message: AnyMessage) -> None:
         """Queue a message for a peer; it is dropped if the peer is not linked."""
@@ -151,18 +153,18 @@
         """Send all queued messages, as one batch for each peer."""
         for link in self._links.values():
             if link.pending:
-                link.ready.set()
+                link.flush_requested.set()
 
     async def serve(self, address: str) -> int:
         """Listen for peers and return the port."""
         self._server = grpc.aio.server(options=_OPTIONS)
         handler: Any = grpc.stream_stream_rpc_method_handler(self._accept)
-        service, _, method = METHOD.strip("/").partition("/")
+        service, _, method = LINK_METHOD.strip("/").partition("/")
         generic = grpc.method_handlers_generic_handler(service, {method: handler})
         self._server.add_generic_rpc_handlers((generic,))
         port: int = self._server.add_insecure_port(address)
         await self._server.start()
-        asyncio.get_running_loop().create_task(self._beat())
+        asyncio.get_running_loop().create_task(self._send_heartbeats())
         return port
 
     async def stop(self) -> None:
@@ -177,7 +179,7 @@
         """Open a link to an address, and reopen it when it is lost, until `undial`."""
         if address not in self._dialled:
             self._dialled[address] = True
-            asyncio.get_event_loop().create_task(self._keep(address))
+            asyncio.get_event_loop().create_task(self._keep_dialled(address))
 
     def undial(self, address: str) -> None:
         """Stop dialling an address; a link that is up remains until it is lost."""
@@ -188,7 +190,7 @@
         """Addresses to which links are kept."""
         return list(self._dialled)
 
-    def drop_all(self) -> None:
+    def close_all(self) -> None:
         """Close all links, as after a long pause; dialled ones are opened again."""
         for link in list(self._links.values()):
             link.close()
@@ -197,19 +199,19 @@
         while address in self._dialled:
             channel = grpc.aio.insecure_channel(address, options=_OPTIONS)
             try:
-                call: Any = channel.stream_stream(METHOD)()
-                await self._converse(call, call.write, dialled=True)
+                call: Any = channel.stream_stream(LINK_METHOD)()
+                await self._run_stream(call, call.write, dialled=True)
                 call.cancel()
             finally:
                 await channel.close()
-            await asyncio.sleep(REDIAL_S)
+            await asyncio.sleep(REDIAL_DELAY_S)
 
     async def _accept(
         self,
         requests: AsyncIterator[bytes],
         context: Any,  # noqa: ANN401
     ) -> None:
-        await self._converse(requests, context.write, dialled=False)
+        await self._run_stream(requests, context.write, dialled=False)
 
     async def _converse(
         self,
@@ -231,22 +233,22 @@
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
-            self._lost(link)
+            self._remove(link)
 
     async def _read(self, link: _Link, requests: AsyncIterator[bytes]) -> None:
         async for data in requests:
-            if not self._take(link, data):
+            if not self._handle_batch(link, data):
                 return
 
     async def _write(self, link: _Link, write: Callable[[bytes], Any]) -> None:
-        await self._put(write, [self._events.hello()])
+        await self._write_batch(write, [self._handler.hello()])
         while not link.closed:
-            await link.ready.wait()
-            link.ready.clear()
+            await link.flush_requested.wait()
+            link.flush_requested.clear()
             if link.pending:
                 batch = link.pending
                 link.pending = []
-                await self._put(write, batch)
+                await self._write_batch(write, batch)
 
     async def _put(self, write: Callable[[bytes], Any], batch: list[AnyMessage]) -> None:
         data = encode(batch)
@@ -255,36 +257,36 @@
         self.sent_bytes += len(data)
         await write(data)
 
-    def _take(self, link: _Link, data: bytes) -> bool:
+    def _handle_batch(self, link: _Link, data: bytes) -> bool:
         """Handle one received batch; return whether the link stays open."""
         if link.closed:
             return False
-        link.heard = clock.now()
+        link.received_at = clock.now()
         self.received_bytes += len(data)
         try:
             messages = decode(data)
         except WireError:
-            self.invalid += 1
+            self.invalid_batches += 1
             return False
         if not link.name:
             if not messages or not isinstance(messages[0], Hello):
                 return False
-            if not self._introduce(link, messages.pop(0)):
+            if not self._handle_hello(link, messages.pop(0)):
                 return False
         if messages:
-            self._events.receive(link.name, messages)
+            self._handler.receive(link.name, messages)
         if not link.dialled and any(isinstance(row, Heartbeat) for row in messages):
-            link.push(self._events.heartbeat())
-            link.ready.set()
+            link.push(self._handler.heartbeat())
+            link.flush_requested.set()
         return True
 
-    def _introduce(self, link: _Link, hello: AnyMessage) -> bool:
+    def _handle_hello(self, link: _Link, hello: AnyMessage) -> bool:
         if not isinstance(hello, Hello):
             return False
-        newest = self._newest.get(hello.peer, 0)
+        newest = self._newest_incarnations.get(hello.peer, 0)
         if hello.incarnation < newest:
             return False
-        self._newest[hello.peer] = hello.incarnation
+        self._newest_incarnations[hello.peer] = hello.incarnation
         link.name = hello.peer
         link.incarnation = hello.incarnation
         before = self._links.get(hello.peer)
@@ -292,25 +294,25 @@
         if before is not None:
             before.name = ""
             before.close()
-            self._events.peer_down(hello.peer)
-        self._events.peer_up(hello)
+            self._handler.peer_down(hello.peer)
+        self._handler.peer_up(hello)
         return True
 
-    def _lost(self, link: _Link) -> None:
+    def _remove(self, link: _Link) -> None:
         link.close()
         if link.name and self._links.get(link.name) is link:
             del self._links[link.name]
-            self._events.peer_down(link.name)
+            self._handler.peer_down(link.name)
 
     async def _beat(self) -> None:
         while True:
-            await asyncio.sleep(HEARTBEAT_S)
-            beat = self._events.heartbeat()
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
+            beat = self._handler.heartbeat()
             now = clock.now()
             for link in list(self._links.values()):
-                if now - link.heard > LEASE_S:
-                    self._lost(link)
+                if now - link.received_at > PEER_TIMEOUT_S:
+                    self._remove(link)
                     continue
                 if link.dialled:
                     link.push(beat)
-                    link.ready.set()
+                    link.flush_requested.set()
--- a/dockreach/membership.py
+++ b/dockreach/membership.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from . import placement
-from .commitment import attach, make_unclear
+from .commitment import attach, mark_unclear
 from .entry_tables import (
     AgentDown,
     AgentGone,
@@ -27,21 +27,21 @@
         row = AgentRow(peer, pool, message.hall, message.incarnation)
         world.agents[peer] = row
         _index_pools(world)
-    world.gone.discard(peer)
+    world.removed_agents.discard(peer)
     row.linked = True
     row.leaving = False
     row.age_s = message.age_s
-    _lose_holds(world, peer)
-    for rid in sorted(world.at_agent.get(peer, set())):
+    _drop_holds(world, peer)
+    for rid in sorted(world.requests_at_agent.get(peer, set())):
         req = world.requests.get(rid)
         if req is not None and req.phase in (Phase.UNCLEAR, Phase.COMMITTED):
             attach(world, req)
     pool = row.pool
     for table in world.waiting.values():
         for req in [row for row in table.values() if row.pool == pool]:
-            req.turned_away.pop(peer, None)
-            if len(req.asked) < world.policy.first_asked:
-                placement.ask(world, req)
+            req.rejections.pop(peer, None)
+            if len(req.asked_agents) < world.policy.initial_agents:
+                placement.send_holds(world, req)
 
 
 @receive.register
@@ -51,37 +51,37 @@
     if row is None:
         return
     row.linked = False
-    _lose_holds(world, peer)
-    for rid in sorted(world.at_agent.get(peer, set())):
+    _drop_holds(world, peer)
+    for rid in sorted(world.requests_at_agent.get(peer, set())):
         req = world.requests.get(rid)
         if req is not None and req.phase is Phase.COMMITTED and req.agent == peer:
-            make_unclear(world, req)
-    _reclaim_lost(world, peer)
+            mark_unclear(world, req)
+    _claim_again(world, peer)
 
 
-def _lose_holds(world: EntryWorld, peer: str) -> None:
+def _drop_holds(world: EntryWorld, peer: str) -> None:
     """Drop the holds of an agent; ask other agents where no hold is left."""
-    for rid in sorted(world.at_agent.get(peer, set())):
+    for rid in sorted(world.requests_at_agent.get(peer, set())):
         req = world.requests.get(rid)
         if req is None:
-            world.at_agent[peer].discard(rid)
+            world.requests_at_agent[peer].discard(rid)
             continue
-        if not req.waiting:
+        if not req.is_waiting:
             continue
-        placement.unhold(world, req, peer)
+        placement.forget_hold(world, req, peer)
         if req.phase is Phase.BINDING and req.agent == peer:
-            _unbind(world, req)
-        if not req.asked and req.phase is Phase.WAITING:
-            placement.ask(world, req)
+            _return_to_waiting(world, req)
+        if not req.asked_agents and req.phase is Phase.WAITING:
+            placement.send_holds(world, req)
 
 
-def _unbind(world: EntryWorld, req: RequestRow) -> None:
+def _return_to_waiting(world: EntryWorld, req: RequestRow) -> None:
     """Return a request to waiting: its grant was lost before anything was committed."""
     req.agent = ""
-    world.enter_waiting(req)
+    world.add_waiting(req)
 
 
-def _reclaim_lost(world: EntryWorld, owner: str) -> None:
+def _claim_again(world: EntryWorld, owner: str) -> None:
     """Claim again the keys whose owner was lost before it answered.
 
     While the owner cannot be reached, this ends the requests with a refusal.
@@ -91,7 +91,7 @@
             if not req.keyed or placement.owner_of(world, req.rid) != owner:
                 continue
             if req.claim is None or req.phase is Phase.BINDING:
-                placement.claim(world, req)
+                placement.claim_key(world, req)
 
 
 @receive.register
@@ -104,13 +104,13 @@
     row = world.agents.get(peer)
     if row is None or row.linked:
         return
-    for rid in sorted(world.at_agent.get(peer, set())):
+    for rid in sorted(world.requests_at_agent.get(peer, set())):
         req = world.requests.get(rid)
         if req is not None and req.phase is Phase.UNCLEAR:
             req.unclear_until = world.now
-            world.wake_at(world.now, rid)
+            world.schedule_check(world.now, rid)
     del world.agents[peer]
-    world.gone.add(peer)
+    world.removed_agents.add(peer)
     _index_pools(world)
 
 
@@ -122,14 +122,14 @@
     row.leaving = message.leaving
     if not message.leaving:
         return
-    for rid in sorted(world.at_agent.get(peer, set())):
+    for rid in sorted(world.requests_at_agent.get(peer, set())):
         req = world.requests.get(rid)
         if req is None or req.phase is not Phase.WAITING:
             continue
         world.send(peer, Withdraw(rid=rid))
-        placement.unhold(world, req, peer)
-        if not req.asked:
-            placement.ask(world, req)
+        placement.forget_hold(world, req, peer)
+        if not req.asked_agents:
+            placement.send_holds(world, req)
 
 
 @receive.register
--- a/dockreach/node.py
+++ b/dockreach/node.py
@@ -7,6 +7,7 @@
 
 from . import _green, clock
 from .agent_tables import AgentWorld
+from .config_store import ConfigStore
 from .declarations import Declarations
 from .entry_tables import EntryWorld
 from .errors import QueryError, RevisionError
@@ -29,17 +30,16 @@
 from .query import parse as parse_query
 from .query_tables import decision_rows, table_rows
 from .settings import Settings
-from .spreading import ConfigStore
 from .ticker import Ticker
 
 Incarnation = int
 
 
-PEERS_TO_HEAR = 2
+MIN_CONFIRMATIONS = 2
 """Peers that must confirm that they have no newer revision before a daemon that has started
 or was paused serves."""
 
-LISTEN_S = 5.0
+CONFIRMATION_TIMEOUT_S = 5.0
 """Time after which a daemon serves although too few peers have confirmed its revision."""
 
 
@@ -61,9 +61,9 @@
         vms: The newest VM list of the platform, or the part of it that an entry sent.
         roles: Roles of the linked peers, by name.
         leaving: Whether this daemon accepts no new work because it is about to stop.
-        heard: Peers that have reported no newer revision since the start or the last
+        confirming_peers: Peers that have reported no newer revision since the start or the last
             pause.
-        listening_since: Monotonic time of the start or the last pause.
+        unconfirmed_since: Monotonic time of the start or the last pause.
         pauses: How often the process was stopped for a while.
     """
 
@@ -77,9 +77,9 @@
         self.vms = VmRows(version=0, rows=())
         self.roles: dict[str, str] = {}
         self.leaving = False
-        self.heard: set[str] = set()
-        self._peers_to_hear = PEERS_TO_HEAR
-        self.listening_since = self.started
+        self.confirming_peers: set[str] = set()
+        self._confirmations_needed = MIN_CONFIRMATIONS
+        self.unconfirmed_since = self.started
         self.pauses = 0
         self.ticker = Ticker(self.on_tick, self.on_pause)
 
@@ -111,18 +111,18 @@
     def is_ready(self) -> bool:
         """Return whether this daemon may serve."""
         has_config = self.config.declarations is not None
-        return has_config and not self.leaving and self.is_settled()
+        return has_config and not self.leaving and self.is_revision_confirmed()
 
-    def is_settled(self) -> bool:
+    def is_revision_confirmed(self) -> bool:
         """Return whether the current revision can be trusted to be the newest one.
 
         The platform may return an old revision to a daemon that starts, or continues after
         a pause. The daemon therefore waits until some peers have confirmed that they have
         no newer revision, or for `CONFIRMATION_TIMEOUT_S` if too few of them respond.
         """
-        if self.vms.version and len(self.heard) >= self._peers_to_hear:
+        if self.vms.version and len(self.confirming_peers) >= self._confirmations_needed:
             return True
-        return clock.now() - self.listening_since > LISTEN_S
+        return clock.now() - self.unconfirmed_since > CONFIRMATION_TIMEOUT_S
 
     def on_pause(self, seconds: float) -> None:
         """Handle a time in which the process was stopped, after which its state is stale.
@@ -130,10 +130,10 @@
         All links are closed, and peers must confirm the current revision again.
         """
         self.pauses += 1
-        self.heard.clear()
-        self.listening_since = clock.now()
+        self.confirming_peers.clear()
+        self.unconfirmed_since = clock.now()
         log(Event.PAUSED, seconds=round(seconds, 1))
-        self.links.drop_all()
+        self.links.close_all()
 
     def hello(self) -> Hello:
         """Return the first message of each link, which identifies this daemon."""
@@ -173,13 +173,13 @@
             if isinstance(message, Heartbeat):
                 self._on_heartbeat(name, message)
             elif isinstance(message, ConfigAsk):
-                self._reply(name, self.config.on_ask(message.revision))
+                self._send_reply(name, self.config.on_ask(message.revision))
             elif isinstance(message, ConfigBody):
-                self.offer_config(message.body, name)
+                self.handle_config(message.body, name)
             elif isinstance(message, ConfigDelta):
                 self._on_delta(name, message)
             elif isinstance(message, VmRows):
-                self.take_vms(message)
+                self.apply_vm_rows(message)
             elif isinstance(message, QueryAsk):
                 self._answer_query(name, message)
             elif isinstance(message, QueryRows):
@@ -192,9 +192,9 @@
             rows = tuple(local_rows(self, parse_query(ask.text)))
         except QueryError:
             rows = ()
-        self._reply(name, QueryRows(number=ask.number, peer=self.name, rows=rows))
+        self._send_reply(name, QueryRows(number=ask.number, peer=self.name, rows=rows))
 
-    def _reply(self, name: str, message: AnyMessage | None) -> None:
+    def _send_reply(self, name: str, message: AnyMessage | None) -> None:
         if message is not None:
             self.links.send(name, message)
             self.links.flush()
@@ -205,20 +205,20 @@
         if self.config.conflicts > conflicts:
             log(Event.CONFIG_CONFLICT, peer=name, revision=beat.revision)
         if ask is None:
-            self._hear(name)
-        self._reply(name, ask)
+            self._record_confirmation(name)
+        self._send_reply(name, ask)
         self.on_heartbeat(name, beat)
 
-    def _hear(self, name: str) -> None:
-        if name in self.heard:
+    def _record_confirmation(self, name: str) -> None:
+        if name in self.confirming_peers:
             return
         was_ready = self.is_ready()
-        self.heard.add(name)
+        self.confirming_peers.add(name)
         if self.is_ready() and not was_ready:
             log(Event.READY)
-            self.announce()
+            self.broadcast_heartbeat()
 
-    def announce(self) -> None:
+    def broadcast_heartbeat(self) -> None:
         """Send a heartbeat to all peers at once."""
         beat = self.heartbeat()
         for peer in self.links.peers:
@@ -230,34 +230,34 @@
             declarations = self.config.on_delta(delta, name)
         except RevisionError as exc:
             log(Event.CONFIG_REFUSED, str(exc), source=name)
-            self._reply(name, ConfigAsk(revision=0))
+            self._send_reply(name, ConfigAsk(revision=0))
             return
-        self._in_force(declarations, name)
+        self._activate(declarations, name)
 
-    def offer_config(self, body: str, source: str) -> bool:
+    def handle_config(self, body: str, source: str) -> bool:
         """Apply a configuration if it is newer; return whether it was refused."""
         try:
-            declarations = self.config.offer(body, source)
+            declarations = self.config.accept(body, source)
         except RevisionError as exc:
             log(Event.CONFIG_REFUSED, str(exc), source=source)
             return True
-        self._in_force(declarations, source)
+        self._activate(declarations, source)
         return False
 
-    def _in_force(self, declarations: Declarations | None, source: str) -> None:
+    def _activate(self, declarations: Declarations | None, source: str) -> None:
         if declarations is None:
             return
         log(Event.CONFIG_IN_FORCE, revision=declarations.revision, source=source)
-        self.announce()
+        self.broadcast_heartbeat()
         self.on_declarations(declarations)
 
-    def take_vms(self, rows: VmRows) -> None:
+    def apply_vm_rows(self, rows: VmRows) -> None:
         """Apply a VM list if it is newer."""
         if rows.version <= self.vms.version:
             return
         self.vms = rows
         live = [row.vm for row in rows.rows if row.state == "live"]
-        self._peers_to_hear = min(PEERS_TO_HEAR, len({*live} - {self.name}))
+        self._confirmations_needed = min(MIN_CONFIRMATIONS, len({*live} - {self.name}))
         self.on_vms()
 
     def vm_of(self, name: str) -> VmRow | None:
@@ -269,7 +269,7 @@
 
     def link_samples(self) -> Iterator[Sample]:
         """Return metric samples about links and ticks."""
-        count = self.links.count()
+        count = self.links.traffic()
         for name, value in count._asdict().items():
             text = f"Traffic between daemons: {name.replace('_', ' ')}"
             yield Sample(f"dockreach_link_{name}_total", text, value, {})
@@ -287,7 +287,7 @@
 
     def start(self) -> None:
         """Start the ticks of the core."""
-        _green.start(self.ticker.run())
+        _green.start_coroutine(self.ticker.run())
 
 
 def local_rows(node: Node, query: Query) -> list[Row]:
--- a/dockreach/operator_api.py
+++ b/dockreach/operator_api.py
@@ -14,11 +14,11 @@
 from .entry_tables import CallerGone
 from .errors import QueryError
 from .events import Event, log
-from .intake import bearer_key
 from .messages import QueryAsk, QueryRows
 from .node import local_rows
 from .pages import send_response
 from .query import Row, Select, Why, filter_and_sort, parse
+from .request_parsing import bearer_key
 from .verdict import Reason
 
 if TYPE_CHECKING:
--- a/dockreach/orders.py
+++ b/dockreach/orders.py
@@ -29,14 +29,14 @@
     number: int
 
 
-class Wanted(NamedTuple):
+class LoadTarget(NamedTuple):
     """The version and adapters that an endpoint should have loaded."""
 
     version: str
     adapters: tuple[str, ...]
 
 
-class Order(msgspec.Struct, frozen=True):
+class LoadOrder(msgspec.Struct, frozen=True):
     """A load order as it is sent to an endpoint."""
 
     version: str
@@ -51,21 +51,21 @@
     adapters: tuple[str, ...] = ()
 
 
-def wanted(declared: Endpoint) -> Wanted | None:
+def load_target(declared: Endpoint) -> LoadTarget | None:
     """Return what an endpoint should load; ``None`` if nothing is declared."""
     adapters = tuple(part.strip() for part in declared.adapters.split(",") if part.strip())
     if not declared.version and not adapters:
         return None
-    return Wanted(declared.version, adapters)
+    return LoadTarget(declared.version, adapters)
 
 
-def turn_s(declarations: Declarations, endpoint: str) -> float:
+def load_delay_s(declarations: Declarations, endpoint: str) -> float:
     """Return the delay of an endpoint's load behind others of its pool, in seconds."""
     pool = declarations.endpoints[endpoint].pool
     loading = [
         name
         for name, item in declarations.endpoints.items()
-        if item.pool == pool and wanted(item) is not None
+        if item.pool == pool and load_target(item) is not None
     ]
     ranked_names = ranked(f"{declarations.revision}", loading)
     fleet = declarations.fleet
@@ -73,43 +73,43 @@
 
 
 @dataclass(slots=True)
-class OrderBook:
+class LoadOrderPlanner:
     """Decides when an agent sends which load order to its endpoint.
 
     Attributes:
-        due: When the next order may be sent; ``None`` if none is needed.
-        number: Number of the last order.
-        given: Fences of all orders so far.
+        due_at: When the next order may be sent; ``None`` if none is needed.
+        last_number: Number of the last order.
+        issued_fences: Fences of all orders so far.
     """
 
     endpoint: str
     incarnation: int
-    target: Wanted | None = None
+    target: LoadTarget | None = None
     revision: int = 0
-    due: float | None = None
-    number: int = 0
-    given: list[Fence] = field(default_factory=list)
+    due_at: float | None = None
+    last_number: int = 0
+    issued_fences: list[Fence] = field(default_factory=list)
 
-    def declare(self, declarations: Declarations, now: float) -> None:
+    def apply_declarations(self, declarations: Declarations, now: float) -> None:
         """Apply newly accepted declarations."""
         declared = declarations.endpoints.get(self.endpoint)
-        target = wanted(declared) if declared else None
+        target = load_target(declared) if declared else None
         self.revision = declarations.revision
         if target == self.target:
             return
         self.target = target
-        self.due = None
+        self.due_at = None
         if target is not None:
-            self.due = now + turn_s(declarations, self.endpoint)
+            self.due_at = now + load_delay_s(declarations, self.endpoint)
 
-    def next_order(self, state: EndpointState, now: float) -> Order | None:
+    def next_order(self, state: EndpointState, now: float) -> LoadOrder | None:
         """Return the order to send now; ``None`` if there is nothing to do."""
-        if self.target is None or self.due is None or now < self.due:
+        if self.target is None or self.due_at is None or now < self.due_at:
             return None
         if (state.version, state.adapters) == self.target:
-            self.due = None
+            self.due_at = None
             return None
-        self.number += 1
-        fence = Fence(self.revision, self.incarnation, self.number)
-        self.given.append(fence)
-        return Order(self.target.version, self.target.adapters, fence)
+        self.last_number += 1
+        fence = Fence(self.revision, self.incarnation, self.last_number)
+        self.issued_fences.append(fence)
+        return LoadOrder(self.target.version, self.target.adapters, fence)
--- a/dockreach/placement.py
+++ b/dockreach/placement.py
@@ -18,7 +18,7 @@
     RequestRow,
     receive,
 )
-from .granting import MILLIS
+from .granting import MS_PER_S
 from .messages import Claim, Decline, Displaced, Grant, Hold, Offer, Withdraw
 from .rendezvous import choose, ranked
 from .verdict import Reason, Refusal, Verdict
@@ -26,10 +26,10 @@
 AFFINITY_AGENTS = 2
 """Number of agents preferred by the hash of a prompt's first block (cache affinity)."""
 
-DECLINE_SLACK_S = 0.02
+MIN_DECLINE_GAIN_S = 0.02
 """Minimum gain in price for which a grant is declined in favour of an offer."""
 
-TRANSIENT = frozenset({Reason.GRANT_VOID, Reason.STOPPING})
+TRANSIENT_REASONS = frozenset({Reason.GRANT_VOID, Reason.STOPPING})
 """Reasons for displacing a hold that do not count as a refusal by the agent."""
 
 
@@ -44,7 +44,7 @@
         share=world.declarations.organisations[message.organisation].share,
         pool=message.pool,
         deadline=world.now + message.deadline_s,
-        arrived=world.now,
+        arrived_at=world.now,
         prompt_tokens=message.prompt_tokens,
         output_tokens=message.output_tokens,
         blocks=message.blocks,
@@ -59,16 +59,18 @@
         repeatable=message.repeatable,
     )
     world.counters.admitted += 1
-    world.budget.admit()
+    world.retry_budget.record_request()
     world.requests[req.rid] = req
-    world.note(req, "admitted", detail=f"tier {req.tier}, {req.prompt_tokens} tokens")
+    world.record_decision(
+        req, "admitted", detail=f"tier {req.tier}, {req.prompt_tokens} tokens"
+    )
     if shedding.refuse_below_floor(world, req):
         return
-    world.enter_waiting(req)
-    world.wake_at(req.deadline, req.rid)
-    if req.keyed and not claim(world, req):
+    world.add_waiting(req)
+    world.schedule_check(req.deadline, req.rid)
+    if req.keyed and not claim_key(world, req):
         return
-    ask(world, req)
+    send_holds(world, req)
 
 
 def supersede(world: EntryWorld, rid: str) -> None:
@@ -85,7 +87,7 @@
     return choose(rid, world.declarations.endpoints)
 
 
-def claim(world: EntryWorld, req: RequestRow) -> bool:
+def claim_key(world: EntryWorld, req: RequestRow) -> bool:
     """Claim a request's key at its owner; refuse the request if that is unreachable."""
     owner = owner_of(world, req.rid)
     row = world.agents.get(owner or "")
@@ -98,23 +100,23 @@
         )
         shedding.finish(world, req, refusal)
         return False
-    world.note(req, "claim", row.name)
+    world.record_decision(req, "claim", row.name)
     message = Claim(rid=req.rid, digest=req.digest, refuted=req.refuted)
     world.send(row.name, message)
     return True
 
 
-def candidates(world: EntryWorld, req: RequestRow) -> list[str]:
+def candidate_agents(world: EntryWorld, req: RequestRow) -> list[str]:
     """Return the agents that a hold may be sent to, the preferred ones first.
 
     The owner of a request's key does not run it, unless it is the only usable agent, so
     that one failure cannot lose both the claim and the run.
     """
-    usable = [name for name in world.pools.get(req.pool, []) if open_to(world, name)]
+    usable = [name for name in world.pools.get(req.pool, []) if is_open(world, name)]
     if req.keyed and len(usable) > 1:
         owner = owner_of(world, req.rid)
         usable = [name for name in usable if name != owner]
-    if len(usable) <= world.policy.ask_all_up_to or not req.blocks:
+    if len(usable) <= world.policy.max_ask_all or not req.blocks:
         return usable
     by_prefix = ranked(str(req.blocks[0]), usable)
     preferred = by_prefix[:AFFINITY_AGENTS]
@@ -123,85 +125,85 @@
     return preferred + rest
 
 
-def open_to(world: EntryWorld, name: str) -> bool:
+def is_open(world: EntryWorld, name: str) -> bool:
     """Return whether an agent may receive new work."""
     row = world.agents.get(name)
-    if row is None or not row.linked or row.leaving or world.now < row.closed_until:
+    if row is None or not row.linked or row.leaving or world.now < row.not_asked_until:
         return False
     endpoint = world.declarations.endpoints.get(name)
     return endpoint is not None and not endpoint.drained
 
 
-def ask(world: EntryWorld, req: RequestRow) -> None:
+def send_holds(world: EntryWorld, req: RequestRow) -> None:
     """Send holds to some agents, and to more of them with each call."""
     names = [
         name
-        for name in candidates(world, req)
-        if name not in req.asked and name not in req.turned_away
+        for name in candidate_agents(world, req)
+        if name not in req.asked_agents and name not in req.rejections
     ]
     policy = world.policy
     count = len(names)
-    if len(names) + len(req.asked) > policy.ask_all_up_to:
-        count = policy.first_asked << req.widen_step
+    if len(names) + len(req.asked_agents) > policy.max_ask_all:
+        count = policy.initial_agents << req.widen_step
     req.widen_step = min(req.widen_step + 1, 10)
     for name in names[:count]:
-        hold_at(world, req, name)
-    req.settle_at = world.now + policy.settle_s
-    world.wake_at(req.settle_at, req.rid)
+        send_hold(world, req, name)
+    req.offers_until = world.now + policy.offers_wait_s
+    world.schedule_check(req.offers_until, req.rid)
     if count < len(names):
-        req.widen_at = world.now + policy.widen_after_s
-        world.wake_at(req.widen_at, req.rid)
+        req.widen_at = world.now + policy.widen_delay_s
+        world.schedule_check(req.widen_at, req.rid)
     else:
         req.widen_at = 0.0
-    if not req.asked:
-        _wait_or_give_up(world, req)
+    if not req.asked_agents:
+        _wait_or_refuse(world, req)
 
 
-def _wait_or_give_up(world: EntryWorld, req: RequestRow) -> None:
+def _wait_or_refuse(world: EntryWorld, req: RequestRow) -> None:
     """Wait for a short time if no agent refused but none accepts new work at present."""
-    timed_out = world.now >= req.arrived + world.policy.patience_s
-    if req.turned_away or timed_out or not world.pools.get(req.pool):
-        give_up(world, req)
+    timed_out = world.now >= req.arrived_at + world.policy.no_agent_timeout_s
+    if req.rejections or timed_out or not world.pools.get(req.pool):
+        refuse_unplaced(world, req)
         return
-    req.widen_at = world.now + world.policy.closed_s
-    world.wake_at(req.widen_at, req.rid)
+    req.widen_at = world.now + world.policy.reask_delay_s
+    world.schedule_check(req.widen_at, req.rid)
 
 
-def hold_at(world: EntryWorld, req: RequestRow, name: str) -> None:
+def send_hold(world: EntryWorld, req: RequestRow, name: str) -> None:
     """Send a hold for a request to one agent."""
-    req.asked.add(name)
-    world.at_agent.setdefault(name, set()).add(req.rid)
+    req.asked_agents.add(name)
+    world.requests_at_agent.setdefault(name, set()).add(req.rid)
     hold = Hold(
         rid=req.rid,
         organisation=req.organisation,
         tier=req.tier,
-        deadline_ms=int((req.deadline - world.now) * MILLIS),
+        deadline_ms=int((req.deadline - world.now) * MS_PER_S),
         prompt_tokens=req.prompt_tokens,
         output_tokens=req.output_tokens,
         share=req.share,
         blocks=req.blocks,
     )
-    world.note(req, "hold", name)
+    world.record_decision(req, "hold", name)
     world.send(name, hold)
 
 
-def unhold(world: EntryWorld, req: RequestRow, name: str) -> None:
+def forget_hold(world: EntryWorld, req: RequestRow, name: str) -> None:
     """Remove an agent's hold, offer and grant from a request."""
-    req.asked.discard(name)
-    req.heard.discard(name)
+    req.asked_agents.discard(name)
+    req.answered_agents.discard(name)
     req.offers.pop(name, None)
     req.grants.pop(name, None)
-    world.at_agent.get(name, set()).discard(req.rid)
+    world.requests_at_agent.get(name, set()).discard(req.rid)
 
 
 def withdraw_all(world: EntryWorld, req: RequestRow, but: str = "") -> None:
     """Withdraw a request from all agents that hold it, except one."""
-    for name in sorted(req.asked):
+    for name in sorted(req.asked_agents):
         if name != but:
             world.send(name, Withdraw(rid=req.rid, served=bool(but)))
-            world.at_agent.get(name, set()).discard(req.rid)
-    req.asked.clear()
-    req.heard.clear()
+            world.requests_at_agent.get(name, set()).discard(req.rid)
+    req.asked_agents.clear()
+    req.answered_agents.clear()
     req.offers.clear()
     req.grants.clear()
 
@@ -209,18 +211,18 @@
 @receive.register
 def _(message: Offer, world: EntryWorld, peer: str) -> None:
     req = world.requests.get(message.rid)
-    if req is None or not req.waiting or peer not in req.asked:
+    if req is None or not req.is_waiting or peer not in req.asked_agents:
         return
     offer = OfferRow(
-        starts=world.now + message.wait_ms / MILLIS,
-        prefill_s=message.prefill_ms / MILLIS,
-        total_s=message.total_ms / MILLIS,
+        starts_at=world.now + message.wait_ms / MS_PER_S,
+        prefill_s=message.prefill_ms / MS_PER_S,
+        total_s=message.total_ms / MS_PER_S,
     )
     req.offers[peer] = offer
-    req.heard.add(peer)
+    req.answered_agents.add(peer)
     world.undecided.add(req.rid)
     detail = f"wait {message.wait_ms} ms, complete in {message.total_ms} ms"
-    world.note(req, "offer", peer, f"{detail}, {message.cached_tokens} cached")
+    world.record_decision(req, "offer", peer, f"{detail}, {message.cached_tokens} cached")
 
 
 @receive.register
@@ -229,47 +231,47 @@
     if req is None or req.phase is not Phase.WAITING:
         world.send(peer, Withdraw(rid=message.rid))
         if req is not None:
-            unhold(world, req, peer)
+            forget_hold(world, req, peer)
         return
     req.grants[peer] = message
-    req.heard.add(peer)
+    req.answered_agents.add(peer)
     world.undecided.add(req.rid)
     detail = f"complete in {message.total_ms} ms, {message.cached_tokens} cached"
-    world.note(req, "grant", peer, detail)
+    world.record_decision(req, "grant", peer, detail)
 
 
 @receive.register
 def _(message: Displaced, world: EntryWorld, peer: str) -> None:
     req = world.requests.get(message.rid)
-    if req is None or peer not in req.asked:
+    if req is None or peer not in req.asked_agents:
         return
-    unhold(world, req, peer)
+    forget_hold(world, req, peer)
     world.undecided.add(req.rid)
-    world.note(req, "displaced", peer, message.reason.value)
-    if not req.waiting:
+    world.record_decision(req, "displaced", peer, message.reason.value)
+    if not req.is_waiting:
         return
-    if message.reason not in TRANSIENT:
-        req.turned_away[peer] = message.reason
+    if message.reason not in TRANSIENT_REASONS:
+        req.rejections[peer] = message.reason
     elif message.reason is Reason.STOPPING and peer in world.agents:
-        world.agents[peer].closed_until = world.now + world.policy.closed_s
+        world.agents[peer].not_asked_until = world.now + world.policy.reask_delay_s
     shorter = min(req.retry_ms or message.retry_ms, message.retry_ms)
     req.retry_ms = shorter
-    if message.reason is Reason.GRANT_VOID and open_to(world, peer):
-        hold_at(world, req, peer)
-    elif not req.asked and req.phase is Phase.WAITING:
-        ask(world, req)
+    if message.reason is Reason.GRANT_VOID and is_open(world, peer):
+        send_hold(world, req, peer)
+    elif not req.asked_agents and req.phase is Phase.WAITING:
+        send_holds(world, req)
 
 
-def give_up(world: EntryWorld, req: RequestRow) -> None:
+def refuse_unplaced(world: EntryWorld, req: RequestRow) -> None:
     """Refuse a request that no agent of its pool holds any longer."""
-    reasons = set(req.turned_away.values())
+    reasons = set(req.rejections.values())
     for reason in (Reason.SHED, Reason.FLOOR, Reason.HOPELESS):
         if reason in reasons:
             break
     else:
         reason = Reason.NO_ENDPOINT
-    retry_s = max(0.5, req.retry_ms / MILLIS)
-    names = ", ".join(sorted(req.turned_away))
+    retry_s = max(0.5, req.retry_ms / MS_PER_S)
+    names = ", ".join(sorted(req.rejections))
     detail = f"no agent accepted the request ({names or 'none reachable'})"
     refusal = Refusal(shedding.waiting_verdict(req), reason, detail, retry_s)
     shedding.finish(world, req, refusal)
@@ -285,7 +287,7 @@
     best_name = ""
     best_price = float("inf")
     for name, grant in req.grants.items():
-        price = _price(world, grant.prefill_ms / MILLIS, grant.total_ms / MILLIS)
+        price = _price(world, grant.prefill_ms / MS_PER_S, grant.total_ms / MS_PER_S)
         if price < best_price:
             best_name, best_price = name, price
     if not best_name:
@@ -293,7 +295,7 @@
     offer_price = _best_offer(world, req, set(req.grants))
     for name in sorted(set(req.grants) - {best_name}):
         _decline(world, req, name, "another grant has a lower price")
-    if offer_price + DECLINE_SLACK_S < world.policy.decline_margin * best_price:
+    if offer_price + MIN_DECLINE_GAIN_S < world.policy.decline_ratio * best_price:
         detail = f"price {best_price:.3f}, best offer {offer_price:.3f}"
         _decline(world, req, best_name, detail)
         return None
@@ -307,9 +309,9 @@
 def _best_offer(world: EntryWorld, req: RequestRow, skip: Iterable[str]) -> float:
     best = float("inf")
     for name, offer in req.offers.items():
-        if name in skip or offer.starts < world.now:
+        if name in skip or offer.starts_at < world.now:
             continue
-        wait = offer.starts - world.now
+        wait = offer.starts_at - world.now
         best = min(best, wait + _price(world, offer.prefill_s, offer.total_s))
     return best
 
@@ -317,5 +319,5 @@
 def _decline(world: EntryWorld, req: RequestRow, name: str, detail: str) -> None:
     grant = req.grants.pop(name)
     world.counters.declined += 1
-    world.note(req, "declined", name, detail)
+    world.record_decision(req, "declined", name, detail)
     world.send(name, Decline(rid=req.rid, number=grant.number))
--- a/dockreach/platform.py
+++ b/dockreach/platform.py
@@ -13,7 +13,7 @@
 from .errors import PlatformError
 from .messages import VmRow, VmRows
 
-CONNECT_S = 2.0
+CONNECT_TIMEOUT_S = 2.0
 HTTP_NOT_MODIFIED = 304
 
 
@@ -22,7 +22,7 @@
     vms: list[VmRow]
 
 
-class Platform:
+class PlatformClient:
     """Client of the platform's HTTP API.
 
     Args:
@@ -57,7 +57,7 @@
         try:
             return data.decode()
         except UnicodeDecodeError as exc:
-            raise self._failed("the configuration is not UTF-8") from exc
+            raise self._record_failure("the configuration is not UTF-8") from exc
 
     def vm_list(self) -> VmRows:
         """Read the VM list.
@@ -65,16 +65,16 @@
         Raises:
             PlatformError: There was no response, or it is not a VM list.
         """
-        data = self._get("/v1/vms", CONNECT_S) or b""
+        data = self._get("/v1/vms", CONNECT_TIMEOUT_S) or b""
         try:
             found = msgspec.json.decode(data, type=_VmList)
         except (msgspec.MsgspecError, UnicodeDecodeError) as exc:
-            raise self._failed(f"not a VM list: {exc}") from exc
+            raise self._record_failure(f"not a VM list: {exc}") from exc
         return VmRows(version=found.version, rows=tuple(found.vms))
 
     def _get(self, path: str, read_timeout_s: float) -> bytes | None:
         self.calls += 1
-        timeout = urllib3.Timeout(connect=CONNECT_S, read=read_timeout_s)
+        timeout = urllib3.Timeout(connect=CONNECT_TIMEOUT_S, read=read_timeout_s)
         try:
             response = self._pool.request(
                 "GET", self._url + path, timeout=timeout, preload_content=False
@@ -84,15 +84,15 @@
             finally:
                 response.release_conn()
         except (urllib3.exceptions.HTTPError, OSError) as exc:
-            raise self._failed(f"no response: {type(exc).__name__}") from exc
+            raise self._record_failure(f"no response: {type(exc).__name__}") from exc
         if response.status == HTTP_NOT_MODIFIED:
             return None
         if response.status != 200:
-            raise self._failed(f"status {response.status}")
+            raise self._record_failure(f"status {response.status}")
         if len(data) > MAX_BODY_BYTES:
-            raise self._failed(f"response larger than {MAX_BODY_BYTES} bytes")
+            raise self._record_failure(f"response larger than {MAX_BODY_BYTES} bytes")
         return data
 
-    def _failed(self, problem: str) -> PlatformError:
+    def _record_failure(self, problem: str) -> PlatformError:
         self.failures += 1
         return PlatformError(problem)
--- a/dockreach/prefix.py
+++ b/dockreach/prefix.py
@@ -18,7 +18,7 @@
 """Maximum number of blocks hashed per prompt; the rest counts as not cached."""
 
 
-def token_count(text: str) -> int:
+def estimate_tokens(text: str) -> int:
     """Return the estimated number of tokens in a text; at least 1."""
     return max(1, len(text) // CHARS_PER_TOKEN)
 
@@ -62,7 +62,7 @@
             count += 1
         return count * BLOCK_TOKENS
 
-    def touch(self, blocks: Iterable[int]) -> None:
+    def record_use(self, blocks: Iterable[int]) -> None:
         """Record that a prompt with these blocks was prefilled or reused."""
         for block in blocks:
             self._blocks[block] = None
@@ -70,7 +70,9 @@
         while len(self._blocks) > self.capacity:
             self._blocks.popitem(last=False)
 
-    def apply(self, number: int, stored: Iterable[int], evicted: Iterable[int]) -> bool:
+    def apply_event(
+        self, number: int, stored: Iterable[int], evicted: Iterable[int]
+    ) -> bool:
         """Apply one cache event of the engine.
 
         Args:
@@ -90,5 +92,5 @@
         self._last_event = number
         for block in evicted:
             self._blocks.pop(block, None)
-        self.touch(stored)
+        self.record_use(stored)
         return in_order
--- a/dockreach/query_tables.py
+++ b/dockreach/query_tables.py
@@ -55,10 +55,10 @@
         "entry": world.name,
         "engine": req.agent,
         "pool": req.pool,
-        "age": round(world.now - req.arrived, 2),
+        "age": round(world.now - req.arrived_at, 2),
         "left": round(req.deadline - world.now, 2),
         "prompt_tokens": req.prompt_tokens,
-        "asked": len(req.asked),
+        "asked": len(req.asked_agents),
     }
 
 
@@ -95,8 +95,8 @@
             "requests_per_s": organisation.requests_per_s,
             "tokens_per_s": organisation.tokens_per_s,
             "concurrency": organisation.concurrency,
-            "usable_part": round(world.limits.usable(name, world.now), 4),
-            "seen": share.demand,
+            "usable_part": round(world.limits.usable_fraction(name, world.now), 4),
+            "seen": share.requests_seen,
         }
 
 
@@ -137,7 +137,7 @@
     for name in ("leaving", "drained", "unreachable"):
         if getattr(world, name):
             return name
-    return "suspect" if world.model.suspect(world.now) else "open"
+    return "suspect" if world.model.is_suspect(world.now) else "open"
 
 
 def decision_rows(world: EntryWorld, rid: str) -> Iterator[Row]:
@@ -145,10 +145,10 @@
     ended = [req for req in world.ended if req.rid == rid]
     running = [world.requests[rid]] if rid in world.requests else []
     for req in [*ended, *running]:
-        for step in req.steps:
+        for step in req.decisions:
             yield {
                 "entry": world.name,
-                "at_ms": round(1000 * (step.at - req.arrived)),
+                "at_ms": round(1000 * (step.at - req.arrived_at)),
                 "decision": step.event,
                 "peer": step.peer,
                 "detail": step.detail,
--- a/dockreach/queueing.py
+++ b/dockreach/queueing.py
@@ -41,49 +41,49 @@
     output_tokens: int
     share: float
     blocks: tuple[int, ...]
-    arrived: float
+    arrived_at: float
     lane: Lane = Lane.SHORT
     declines: int = 0
-    queued: bool = False
+    is_queued: bool = False
 
     @property
     def cost(self) -> float:
         """Return the work of the request in units of one generated token."""
-        return self.output_tokens + self.prompt_tokens / PREFILL_PER_DECODE
+        return self.output_tokens + self.prompt_tokens / PREFILL_TOKENS_PER_DECODE_TOKEN
 
 
-PREFILL_PER_DECODE = 10.0
+PREFILL_TOKENS_PER_DECODE_TOKEN = 10.0
 """Number of prompt tokens that cost an engine as much as one generated token."""
 
 
 @dataclass(slots=True)
-class _Flow:
+class _OrganisationQueue:
     """The holds of one organisation in one tier, with one heap for each lane."""
 
-    service: float = 0.0
-    lanes: tuple[list[tuple[float, int, Hold]], ...] = ([], [])
+    virtual_service: float = 0.0
+    heaps: tuple[list[tuple[float, int, Hold]], ...] = ([], [])
 
     def head(self, lane: Lane) -> Hold | None:
         """Return the first hold of a lane, deleting removed ones in front of it."""
-        heap = self.lanes[lane]
-        while heap and not heap[0][2].queued:
+        heap = self.heaps[lane]
+        while heap and not heap[0][2].is_queued:
             heapq.heappop(heap)
         return heap[0][2] if heap else None
 
 
 @dataclass(slots=True)
-class _Tier:
+class _TierQueue:
     """The holds of one tier.
 
     Attributes:
-        flows: Queue of each organisation.
+        organisations: Queue of each organisation.
         arrivals: Holds in order of arrival, with removed ones in between.
-        live: Number of queued holds.
+        size: Number of queued holds.
     """
 
-    flows: dict[str, _Flow] = field(default_factory=dict)
+    organisations: dict[str, _OrganisationQueue] = field(default_factory=dict)
     arrivals: list[Hold] = field(default_factory=list)
-    live: int = 0
+    size: int = 0
     virtual_time: float = 0.0
 
 
@@ -95,74 +95,76 @@
     """
 
     def __init__(self) -> None:
-        self._tiers: dict[int, _Tier] = {}
+        self._tiers: dict[int, _TierQueue] = {}
         self._sequence = 0
-        self._live = 0
+        self._size = 0
 
     def __len__(self) -> int:
-        return self._live
+        return self._size
 
-    def ahead_of(self, tier: int) -> int:
+    def count_ahead_of(self, tier: int) -> int:
         """Return the number of holds in this tier and the higher ones."""
         return sum(
-            tier_queue.live for rank, tier_queue in self._tiers.items() if rank <= tier
+            tier_queue.size for rank, tier_queue in self._tiers.items() if rank <= tier
         )
 
-    def in_tier(self, tier: int) -> int:
+    def count_in_tier(self, tier: int) -> int:
         """Return the number of holds in a tier."""
         tier_queue = self._tiers.get(tier)
-        return tier_queue.live if tier_queue else 0
+        return tier_queue.size if tier_queue else 0
 
     def tiers(self) -> list[int]:
         """Return all tiers that have ever had a hold."""
         return list(self._tiers)
 
-    def any_below(self, tier: int) -> bool:
+    def has_lower_tier(self, tier: int) -> bool:
         """Return whether a hold of a lower tier is queued."""
         return any(
-            tier_queue.live for rank, tier_queue in self._tiers.items() if rank > tier
+            tier_queue.size for rank, tier_queue in self._tiers.items() if rank > tier
         )
 
     def add(self, hold: Hold) -> None:
         """Queue a hold."""
-        tier_queue = self._tiers.setdefault(hold.tier, _Tier())
-        queue = tier_queue.flows.get(hold.organisation)
+        tier_queue = self._tiers.setdefault(hold.tier, _TierQueue())
+        queue = tier_queue.organisations.get(hold.organisation)
         if queue is None:
-            queue = _Flow(service=tier_queue.virtual_time, lanes=([], []))
-            tier_queue.flows[hold.organisation] = queue
-        queue.service = max(queue.service, tier_queue.virtual_time)
+            queue = _OrganisationQueue(
+                virtual_service=tier_queue.virtual_time, heaps=([], [])
+            )
+            tier_queue.organisations[hold.organisation] = queue
+        queue.virtual_service = max(queue.virtual_service, tier_queue.virtual_time)
         self._sequence += 1
-        heapq.heappush(queue.lanes[hold.lane], (hold.deadline, self._sequence, hold))
+        heapq.heappush(queue.heaps[hold.lane], (hold.deadline, self._sequence, hold))
         tier_queue.arrivals.append(hold)
-        hold.queued = True
-        tier_queue.live += 1
-        self._live += 1
+        hold.is_queued = True
+        tier_queue.size += 1
+        self._size += 1
 
     def remove(self, hold: Hold) -> None:
         """Remove a hold from the queue; does nothing if it is not queued."""
-        if not hold.queued:
+        if not hold.is_queued:
             return
-        hold.queued = False
+        hold.is_queued = False
         tier_queue = self._tiers[hold.tier]
-        tier_queue.live -= 1
-        self._live -= 1
-        if len(tier_queue.arrivals) > 2 * tier_queue.live + 16:
-            self._compact(tier_queue)
+        tier_queue.size -= 1
+        self._size -= 1
+        if len(tier_queue.arrivals) > 2 * tier_queue.size + 16:
+            self._remove_stale(tier_queue)
 
     def charge(self, hold: Hold) -> None:
         """Charge a granted hold to its organisation."""
         tier_queue = self._tiers[hold.tier]
-        queue = tier_queue.flows.get(hold.organisation)
+        queue = tier_queue.organisations.get(hold.organisation)
         if queue is None:
             return
-        tier_queue.virtual_time = max(tier_queue.virtual_time, queue.service)
-        queue.service += hold.cost / hold.share
+        tier_queue.virtual_time = max(tier_queue.virtual_time, queue.virtual_service)
+        queue.virtual_service += hold.cost / hold.share
 
     def refund(self, hold: Hold) -> None:
         """Undo a charge for a grant that was not used."""
-        queue = self._tiers[hold.tier].flows.get(hold.organisation)
+        queue = self._tiers[hold.tier].organisations.get(hold.organisation)
         if queue is not None:
-            queue.service -= hold.cost / hold.share
+            queue.virtual_service -= hold.cost / hold.share
 
     def pick(self, allowed: Callable[[int, Lane], bool]) -> Hold | None:
         """Return the hold to serve next; ``None`` if there is none.
@@ -172,10 +174,10 @@
         """
         for tier in sorted(self._tiers):
             tier_queue = self._tiers[tier]
-            if not tier_queue.live:
+            if not tier_queue.size:
                 continue
             lanes = [lane for lane in Lane if allowed(tier, lane)]
-            hold = self._first(tier_queue, lanes)
+            hold = self._least_served(tier_queue, lanes)
             if hold is not None:
                 return hold
         return None
@@ -184,7 +186,7 @@
         """Return the hold to displace first when the queue is too long."""
         for tier in sorted(self._tiers, reverse=True):
             arrivals = self._tiers[tier].arrivals
-            while arrivals and not arrivals[-1].queued:
+            while arrivals and not arrivals[-1].is_queued:
                 arrivals.pop()
             if arrivals:
                 return arrivals[-1]
@@ -193,26 +195,28 @@
     def __iter__(self) -> Iterator[Hold]:
         for tier_queue in self._tiers.values():
             for hold in tier_queue.arrivals:
-                if hold.queued:
+                if hold.is_queued:
                     yield hold
 
     @staticmethod
-    def _first(tier_queue: _Tier, lanes: list[Lane]) -> Hold | None:
+    def _least_served(tier_queue: _TierQueue, lanes: list[Lane]) -> Hold | None:
         best: Hold | None = None
         least_service = float("inf")
-        for queue in tier_queue.flows.values():
-            if queue.service >= least_service:
+        for queue in tier_queue.organisations.values():
+            if queue.virtual_service >= least_service:
                 continue
             heads = [hold for lane in lanes if (hold := queue.head(lane)) is not None]
             if heads:
                 best = min(heads, key=lambda hold: hold.deadline)
-                least_service = queue.service
+                least_service = queue.virtual_service
         return best
 
     @staticmethod
-    def _compact(tier_queue: _Tier) -> None:
-        tier_queue.arrivals = [hold for hold in tier_queue.arrivals if hold.queued]
-        idle = [name for name, queue in tier_queue.flows.items() if not any(queue.lanes)]
+    def _remove_stale(tier_queue: _TierQueue) -> None:
+        tier_queue.arrivals = [hold for hold in tier_queue.arrivals if hold.is_queued]
+        idle = [
+            name for name, queue in tier_queue.organisations.items() if not any(queue.heaps)
+        ]
         for name in idle:
-            if tier_queue.flows[name].service <= tier_queue.virtual_time:
-                del tier_queue.flows[name]
+            if tier_queue.organisations[name].virtual_service <= tier_queue.virtual_time:
+                del tier_queue.organisations[name]
--- a/dockreach/relaying.py
+++ b/dockreach/rebuild_relay.py
@@ -12,7 +12,7 @@
     EntryDown,
     EntryUp,
     EntryWorld,
-    Relay,
+    RebuildRelay,
     RequestRow,
     receive,
 )
@@ -26,7 +26,7 @@
         owner=message.owner,
         incarnation=message.incarnation,
         peer=world.name,
-        runs=_committed(world),
+        runs=_committed_runs(world),
         last=not from_owner,
     )
     world.send(peer, reply)
@@ -35,16 +35,18 @@
     linked = {name for name, row in world.agents.items() if row.linked}
     linked.discard(message.owner)
     asked = linked | set(world.entries)
-    silent = set(world.declarations.endpoints) - linked - world.gone - {message.owner}
-    world.relays[message.owner] = Relay(message.incarnation, asked, silent)
+    silent = (
+        set(world.declarations.endpoints) - linked - world.removed_agents - {message.owner}
+    )
+    world.rebuild_relays[message.owner] = RebuildRelay(message.incarnation, asked, silent)
     for name in sorted(asked):
         world.send(name, message)
-    _finish(world, message.owner)
+    _finish_if_complete(world, message.owner)
 
 
 @receive.register
 def _(message: RebuildReply, world: EntryWorld, peer: str) -> None:
-    relay = world.relays.get(message.owner)
+    relay = world.rebuild_relays.get(message.owner)
     if relay is None or relay.incarnation != message.incarnation:
         return
     if message.runs:
@@ -55,35 +57,35 @@
             runs=message.runs,
         )
         world.send(message.owner, relayed)
-    relay.waiting.discard(peer)
-    _finish(world, message.owner)
+    relay.pending_peers.discard(peer)
+    _finish_if_complete(world, message.owner)
 
 
-def lose_peer(world: EntryWorld, peer: str) -> None:
+def remove_peer(world: EntryWorld, peer: str) -> None:
     """Stop waiting for the replies of a peer whose link was lost."""
-    for owner, relay in list(world.relays.items()):
-        if peer in relay.waiting:
-            relay.waiting.discard(peer)
-            relay.silent.add(peer)
-            _finish(world, owner)
+    for owner, relay in list(world.rebuild_relays.items()):
+        if peer in relay.pending_peers:
+            relay.pending_peers.discard(peer)
+            relay.silent_agents.add(peer)
+            _finish_if_complete(world, owner)
 
 
-def _finish(world: EntryWorld, owner: str) -> None:
-    relay = world.relays[owner]
-    if relay.waiting:
+def _finish_if_complete(world: EntryWorld, owner: str) -> None:
+    relay = world.rebuild_relays[owner]
+    if relay.pending_peers:
         return
-    del world.relays[owner]
+    del world.rebuild_relays[owner]
     reply = RebuildReply(
         owner=owner,
         incarnation=relay.incarnation,
         peer=world.name,
-        silent=tuple(sorted(relay.silent)),
+        silent=tuple(sorted(relay.silent_agents)),
         last=True,
     )
     world.send(owner, reply)
 
 
-def _committed(world: EntryWorld) -> tuple[KnownRun, ...]:
+def _committed_runs(world: EntryWorld) -> tuple[KnownRun, ...]:
     rows: list[RequestRow] = [*world.requests.values(), *world.ended]
     return tuple(
         KnownRun(rid=req.rid, agent=req.agent, incarnation=req.incarnation)
@@ -101,4 +103,4 @@
 def _(message: EntryDown, world: EntryWorld, peer: str) -> None:
     del message
     world.entries.pop(peer, None)
-    lose_peer(world, peer)
+    remove_peer(world, peer)
--- a/dockreach/intake.py
+++ b/dockreach/request_parsing.py
@@ -11,10 +11,10 @@
 import msgspec
 from msgspec import Meta
 
-from .claims import KEYED_MARK
+from .claims import KEYED_PREFIX
 from .declarations import Declarations, Organisation
 from .entry_tables import Admit, AttachRun
-from .prefix import block_hashes, token_count
+from .prefix import block_hashes, estimate_tokens
 from .verdict import Reason, Refusal, Verdict
 
 DEADLINE_HEADER = "Dockreach-Deadline-Ms"
@@ -29,7 +29,7 @@
 SERVICE_PREFIX = "/services/"
 
 
-class Message(msgspec.Struct):
+class ChatMessage(msgspec.Struct):
     """One message of a chat."""
 
     role: str
@@ -40,7 +40,7 @@
     """The fields of a completion request that scheduling needs; others are ignored."""
 
     model: str
-    messages: list[Message] | None = None
+    messages: list[ChatMessage] | None = None
     prompt: str | list[str] | None = None
     max_tokens: Annotated[int, Meta(ge=1, le=1_000_000)] | None = None
     max_completion_tokens: Annotated[int, Meta(ge=1, le=1_000_000)] | None = None
@@ -59,7 +59,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class CallerRequest:
+class InboundRequest:
     """A request as received over HTTP; header names are in lower case."""
 
     method: str
@@ -73,7 +73,7 @@
         return self.headers.get(name.lower(), "")
 
 
-class Caller(NamedTuple):
+class CallerIdentity(NamedTuple):
     """A caller's organisation, and the tier and deadline (seconds) of its request."""
 
     organisation: str
@@ -84,18 +84,20 @@
 def prompt_text(completion: Completion) -> str:
     """Return a request's prompt as one text, for token counts and prefix hashes."""
     if completion.messages is not None:
-        parts = [f"{item.role}\n{_content(item.content)}" for item in completion.messages]
+        parts = [
+            f"{item.role}\n{_content_text(item.content)}" for item in completion.messages
+        ]
         return "\n".join(parts)
     if isinstance(completion.prompt, list):
         return "\n".join(completion.prompt)
     return completion.prompt or ""
 
 
-def _content(content: Any) -> str:  # noqa: ANN401
+def _content_text(content: Any) -> str:  # noqa: ANN401
     return content if isinstance(content, str) else msgspec.json.encode(content).decode()
 
 
-def refuse(reason: Reason, detail: str, retry_s: float | None = None) -> Refusal:
+def not_run_refusal(reason: Reason, detail: str, retry_s: float | None = None) -> Refusal:
     """Return the refusal of a request that was never sent to an agent."""
     return Refusal(Verdict.NOT_RUN, reason, detail, retry_s)
 
@@ -106,44 +108,48 @@
     return key.strip() if scheme == "Bearer" else None
 
 
-def identify(req: CallerRequest, declarations: Declarations) -> Caller | Refusal:
+def authenticate(
+    req: InboundRequest, declarations: Declarations
+) -> CallerIdentity | Refusal:
     """Authenticate a caller by its API key, and check its tier and deadline."""
     key = bearer_key(req.header("Authorization"))
     name = None if key is None else declarations.organisation_of(key)
     if name is None:
-        return refuse(Reason.BAD_KEY, "send Authorization: Bearer KEY")
+        return not_run_refusal(Reason.BAD_KEY, "send Authorization: Bearer KEY")
     organisation = declarations.organisations[name]
     tier_name = req.header(TIER_HEADER) or organisation.tier_names[0]
     allowed = _allowed_tiers(declarations, organisation)
     if tier_name not in allowed:
         detail = f"tier {tier_name!r} is not allowed; allowed: {', '.join(allowed)}"
-        return refuse(Reason.TIER_NOT_ALLOWED, detail)
+        return not_run_refusal(Reason.TIER_NOT_ALLOWED, detail)
     tier = declarations.tiers[tier_name]
-    deadline = _deadline(req, tier.deadline_s)
+    deadline = _parse_deadline(req, tier.deadline_s)
     if isinstance(deadline, Refusal):
         return deadline
-    return Caller(name, tier.rank, deadline)
+    return CallerIdentity(name, tier.rank, deadline)
 
 
 def _allowed_tiers(declarations: Declarations, organisation: Organisation) -> list[str]:
     return [name for name in organisation.tier_names if name in declarations.tiers]
 
 
-def _deadline(req: CallerRequest, default_s: float) -> float | Refusal:
+def _parse_deadline(req: InboundRequest, default_s: float) -> float | Refusal:
     text = req.header(DEADLINE_HEADER)
     if not text:
         return default_s
     try:
         seconds = int(text) / 1000
     except ValueError:
-        return refuse(Reason.BAD_REQUEST, f"{DEADLINE_HEADER} is not an integer")
+        return not_run_refusal(Reason.BAD_REQUEST, f"{DEADLINE_HEADER} is not an integer")
     if not 0 < seconds <= MAX_DEADLINE_S:
         detail = f"{DEADLINE_HEADER} is not between 1 and {int(MAX_DEADLINE_S * 1000)}"
-        return refuse(Reason.BAD_REQUEST, detail)
+        return not_run_refusal(Reason.BAD_REQUEST, detail)
     return seconds
 
 
-def read(req: CallerRequest, declarations: Declarations) -> Admit | AttachRun | Refusal:
+def parse_request(
+    req: InboundRequest, declarations: Declarations
+) -> Admit | AttachRun | Refusal:
     """Validate a caller's request.
 
     Args:
@@ -153,37 +159,39 @@
     Returns:
         A message for the core, or a refusal that describes what is wrong.
     """
-    caller = identify(req, declarations)
+    caller = authenticate(req, declarations)
     if isinstance(caller, Refusal):
         return caller
     if req.header(TICKET_HEADER):
-        return _attach(req, caller)
+        return _parse_attach(req, caller)
     if req.path.startswith(SERVICE_PREFIX):
-        return _service(req, caller, declarations)
-    return _completion(req, caller, declarations)
+        return _parse_service_request(req, caller, declarations)
+    return _parse_completion(req, caller, declarations)
 
 
-def _completion(
-    req: CallerRequest, caller: Caller, declarations: Declarations
+def _parse_completion(
+    req: InboundRequest, caller: CallerIdentity, declarations: Declarations
 ) -> Admit | Refusal:
     try:
         completion = msgspec.json.decode(req.body, type=Completion)
         text = prompt_text(completion)
     except (msgspec.MsgspecError, UnicodeDecodeError) as exc:
-        return refuse(Reason.BAD_REQUEST, f"the body is not a valid request: {exc}")
+        return not_run_refusal(
+            Reason.BAD_REQUEST, f"the body is not a valid request: {exc}"
+        )
     if not text:
-        return refuse(Reason.BAD_REQUEST, "the prompt is empty")
+        return not_run_refusal(Reason.BAD_REQUEST, "the prompt is empty")
     model = declarations.models.get(completion.model)
     if model is None:
         known = ", ".join(declarations.models) or "none"
         detail = f"model {completion.model!r} is not known; known: {known}"
-        return refuse(Reason.UNKNOWN_MODEL, detail)
+        return not_run_refusal(Reason.UNKNOWN_MODEL, detail)
     limit = completion.max_completion_tokens or completion.max_tokens
-    return _admit(
+    return _build_admit(
         req,
         caller,
         pool=model.pool,
-        prompt_tokens=token_count(text),
+        prompt_tokens=estimate_tokens(text),
         output_tokens=limit or model.output_tokens,
         blocks=block_hashes(text),
         stream=completion.stream,
@@ -192,17 +200,17 @@
     )
 
 
-def _service(
-    req: CallerRequest, caller: Caller, declarations: Declarations
+def _parse_service_request(
+    req: InboundRequest, caller: CallerIdentity, declarations: Declarations
 ) -> Admit | Refusal:
     name, slash, rest = req.path[len(SERVICE_PREFIX) :].partition("/")
     service = declarations.services.get(name)
     if service is None:
         known = ", ".join(declarations.services) or "none"
         detail = f"service {name!r} is not known; known: {known}"
-        return refuse(Reason.UNKNOWN_SERVICE, detail)
+        return not_run_refusal(Reason.UNKNOWN_SERVICE, detail)
     path = slash + rest or "/"
-    return _admit(
+    return _build_admit(
         req,
         caller,
         pool=service.pool,
@@ -215,9 +223,9 @@
     )
 
 
-def _admit(
-    req: CallerRequest,
-    caller: Caller,
+def _build_admit(
+    req: InboundRequest,
+    caller: CallerIdentity,
     *,
     pool: str,
     prompt_tokens: int,
@@ -230,7 +238,7 @@
     key = req.header(IDEMPOTENCY_HEADER)
     if len(key) > MAX_KEY_CHARS:
         detail = f"{IDEMPOTENCY_HEADER} is longer than {MAX_KEY_CHARS} characters"
-        return refuse(Reason.BAD_REQUEST, detail)
+        return not_run_refusal(Reason.BAD_REQUEST, detail)
     has_opted_out = req.header(NOT_REPEATABLE_HEADER) not in ("", "0", "false")
     digest = blake2b(f"{req.method} {path}\0".encode() + req.body, digest_size=8)
     return Admit(
@@ -261,13 +269,13 @@
 def keyed_rid(organisation: str, key: str) -> str:
     """Return the request id for an idempotency key; it is the same at every entry."""
     digest = blake2b(f"{organisation}\0{key}".encode(), digest_size=16)
-    return KEYED_MARK + digest.hexdigest()
+    return KEYED_PREFIX + digest.hexdigest()
 
 
-def _attach(req: CallerRequest, caller: Caller) -> AttachRun | Refusal:
+def _parse_attach(req: InboundRequest, caller: CallerIdentity) -> AttachRun | Refusal:
     parts = req.header(TICKET_HEADER).split(":")
     if len(parts) != 3 or not parts[2].isdigit():
-        return refuse(Reason.BAD_REQUEST, f"{TICKET_HEADER} is not a valid ticket")
+        return not_run_refusal(Reason.BAD_REQUEST, f"{TICKET_HEADER} is not a valid ticket")
     try:
         stream = msgspec.json.decode(req.body, type=Completion).stream
     except msgspec.MsgspecError:
--- a/dockreach/answers.py
+++ b/dockreach/response_chunks.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from . import shedding
-from .entry_tables import EntryWorld, Phase, RequestRow, Taken, receive
+from .entry_tables import ChunksDelivered, EntryWorld, Phase, RequestRow, receive
 from .messages import Cancel, Chunk, ChunkAck, Ended
 from .verdict import Reason, Refusal
 
@@ -19,20 +19,20 @@
     req.phase = Phase.COMMITTED
     if message.number < req.next_chunk:
         return
-    if len(req.ahead) < world.policy.ahead_limit:
-        req.ahead[message.number] = message
-    while (chunk := req.ahead.pop(req.next_chunk, None)) is not None:
-        _take(world, req, chunk)
-    _complete(world, req)
-
-
-def _take(world: EntryWorld, req: RequestRow, chunk: Chunk) -> None:
-    if req.first_chunk is None:
-        req.first_chunk = world.now
-        world.note(req, "first chunk", req.agent)
-    req.ready.append(chunk)
+    if len(req.early_chunks) < world.policy.max_early_chunks:
+        req.early_chunks[message.number] = message
+    while (chunk := req.early_chunks.pop(req.next_chunk, None)) is not None:
+        _append_chunk(world, req, chunk)
+    _finish_if_complete(world, req)
+
+
+def _append_chunk(world: EntryWorld, req: RequestRow, chunk: Chunk) -> None:
+    if req.first_chunk_at is None:
+        req.first_chunk_at = world.now
+        world.record_decision(req, "first chunk", req.agent)
+    req.ready_chunks.append(chunk)
     req.next_chunk += 1
-    world.woken[req.caller] = req
+    world.callers_to_wake[req.caller] = req
 
 
 @receive.register
@@ -43,10 +43,10 @@
     if req.phase not in (Phase.COMMITTED, Phase.UNCLEAR):
         return
     req.end = message
-    _complete(world, req)
+    _finish_if_complete(world, req)
 
 
-def _complete(world: EntryWorld, req: RequestRow) -> None:
+def _finish_if_complete(world: EntryWorld, req: RequestRow) -> None:
     """End a request if its run failed, or once all chunks of its response arrived."""
     if req.end is None:
         return
@@ -63,20 +63,20 @@
 
 
 @receive.register
-def _(message: Taken, world: EntryWorld, peer: str) -> None:
+def _(message: ChunksDelivered, world: EntryWorld, peer: str) -> None:
     del peer
     req = world.requests.get(message.rid)
     if req is None or req.caller != message.caller:
         return
-    req.taken = max(req.taken, message.upto)
-    req.taken_bytes += message.size
+    req.delivered_chunks = max(req.delivered_chunks, message.upto)
+    req.unacked_bytes += message.size
     world.to_ack.add(req.rid)
 
 
-ACK_CHUNKS = 16
+ACK_AFTER_CHUNKS = 16
 """Chunks delivered to the caller after which they are acknowledged."""
 
-ACK_BYTES = 64 << 10
+ACK_AFTER_BYTES = 64 << 10
 """Bytes delivered to the caller after which they are acknowledged."""
 
 
@@ -86,9 +86,12 @@
         req = world.requests.get(rid)
         if req is None or req.phase is not Phase.COMMITTED:
             continue
-        if req.taken < req.acked + ACK_CHUNKS and req.taken_bytes < ACK_BYTES:
+        if (
+            req.delivered_chunks < req.acked_chunks + ACK_AFTER_CHUNKS
+            and req.unacked_bytes < ACK_AFTER_BYTES
+        ):
             continue
-        req.acked = req.taken
-        req.taken_bytes = 0
-        world.send(req.agent, ChunkAck(rid=rid, upto=req.acked))
+        req.acked_chunks = req.delivered_chunks
+        req.unacked_bytes = 0
+        world.send(req.agent, ChunkAck(rid=rid, upto=req.acked_chunks))
     world.to_ack.clear()
