--- a/dockreach/exchange.py
+++ b/dockreach/response_delivery.py
@@ -17,14 +17,14 @@
     send_refusal,
 )
 from .endpoints import EVENT_STREAM
-from .entry_tables import CallerGone, Phase, RequestRow, Taken
-from .intake import Ticket
+from .entry_tables import CallerGone, ChunksDelivered, Phase, RequestRow
+from .request_parsing import Ticket
 from .verdict import Reason, Refusal, Verdict
 
 if TYPE_CHECKING:
     from .entry_node import EntryNode
 
-CHECK_CALLER_S = 1.0
+CALLER_CHECK_INTERVAL_S = 1.0
 """How often a waiting request checks whether its caller is still connected."""
 
 
@@ -52,7 +52,7 @@
         self.signal.set()
 
 
-class Exchange:
+class ResponseDelivery:
     """Waits for the response to one request and delivers it to the caller.
 
     Args:
@@ -74,64 +74,66 @@
         self._waiter = waiter
         self._conn = conn
         self._repeatable = repeatable
-        self._delivered = False
-        self._taken = 0
+        self._is_delivered = False
+        self._delivered_chunks = 0
         self._event_stream = False
 
-    def respond(self, start: StartResponse, *, whole: bool) -> Iterator[bytes]:
+    def respond(self, start: StartResponse, *, is_buffered: bool) -> Iterator[bytes]:
         """Wait for the response and deliver it.
 
         Args:
             start: The server's start of a response.
-            whole: Whether to wait for the complete response, instead of streaming it from
+            is_buffered: Whether to wait for the complete response, instead of streaming it from
                 its first chunk on.
         """
         try:
-            row = self._await_start(whole)
+            row = self._wait_for_start(is_buffered)
         except BaseException:
-            self._leave(Reason.CALLER_GONE)
+            self._report_caller_gone(Reason.CALLER_GONE)
             raise
         if row is None:
-            self._leave(Reason.CALLER_GONE)
+            self._report_caller_gone(Reason.CALLER_GONE)
             return iter(())
-        if row.refusal is not None and (whole or row.first_chunk is None):
-            self._delivered = True
-            self._node.forget(self._waiter)
-            refusal = self._advise(row.refusal)
+        if row.refusal is not None and (is_buffered or row.first_chunk_at is None):
+            self._is_delivered = True
+            self._node.remove_waiter(self._waiter)
+            refusal = self._restrict_retry(row.refusal)
             return send_refusal(start, refusal, row.rid, ticket=_ticket(row))
-        if whole:
-            return self._send_whole(start, row)
-        self._start(start, row, None)
-        return _Body(self._stream(row), self._close)
+        if is_buffered:
+            return self._send_buffered(start, row)
+        self._send_head(start, row, None)
+        return _ClosingBody(self._stream(row), self._close)
 
-    def _await_start(self, whole: bool) -> RequestRow | None:
+    def _wait_for_start(self, whole: bool) -> RequestRow | None:
         while True:
             row = self._waiter.row
             if row is not None:
                 if row.phase is Phase.DONE:
                     return row
-                if row.ready and not whole:
+                if row.ready_chunks and not whole:
                     return row
-                if row.ready and whole:
-                    self._acknowledge_whole(row)
-            if not self._wait():
+                if row.ready_chunks and whole:
+                    self._acknowledge_buffered(row)
+            if not self._wait_for_update():
                 return None
 
-    def _acknowledge_whole(self, row: RequestRow) -> None:
+    def _acknowledge_buffered(self, row: RequestRow) -> None:
         """Acknowledge buffered chunks, so that the agent sends the rest.
 
         The buffer needs no limit of its own: the response is limited by its output tokens.
         """
-        size = sum(len(chunk.data) for chunk in row.ready)
-        self._node.ticker.put("", Taken(row.rid, row.caller, row.next_chunk, size))
+        size = sum(len(chunk.data) for chunk in row.ready_chunks)
+        self._node.ticker.put(
+            "", ChunksDelivered(row.rid, row.caller, row.next_chunk, size)
+        )
 
-    def _wait(self) -> bool:
+    def _wait_for_update(self) -> bool:
         """Wait for an update; return whether the caller is still connected."""
-        if self._waiter.signal.wait(CHECK_CALLER_S):
+        if self._waiter.signal.wait(CALLER_CHECK_INTERVAL_S):
             return True
-        return self._caller_present()
+        return self._is_caller_connected()
 
-    def _caller_present(self) -> bool:
+    def _is_caller_connected(self) -> bool:
         if self._conn is None:
             return True
         try:
@@ -143,8 +145,8 @@
         except (OSError, ValueError):
             return False
 
-    def _start(self, start: StartResponse, row: RequestRow, length: int | None) -> None:
-        head = row.ready[0]
+    def _send_head(self, start: StartResponse, row: RequestRow, length: int | None) -> None:
+        head = row.ready_chunks[0]
         self._event_stream = head.content_type.startswith(EVENT_STREAM)
         headers = [
             ("Content-Type", head.content_type or "application/octet-stream"),
@@ -156,59 +158,59 @@
             headers.append(("Content-Length", str(length)))
         start(f"{head.status or 200} Answer", headers)
 
-    def _send_whole(self, start: StartResponse, row: RequestRow) -> Iterator[bytes]:
-        body = b"".join(chunk.data for chunk in row.ready)
-        self._start(start, row, len(body))
-        self._delivered = True
-        self._node.forget(self._waiter)
+    def _send_buffered(self, start: StartResponse, row: RequestRow) -> Iterator[bytes]:
+        body = b"".join(chunk.data for chunk in row.ready_chunks)
+        self._send_head(start, row, len(body))
+        self._is_delivered = True
+        self._node.remove_waiter(self._waiter)
         return iter((body,))
 
     def _stream(self, row: RequestRow) -> Iterator[bytes]:
         while True:
-            while row.ready:
-                parts = list(row.ready)
-                row.ready.clear()
+            while row.ready_chunks:
+                parts = list(row.ready_chunks)
+                row.ready_chunks.clear()
                 data = b"".join(chunk.data for chunk in parts)
                 yield data
-                self._count_taken(row, len(parts), len(data))
-            if row.phase is Phase.DONE and not row.ready:
+                self._report_delivered(row, len(parts), len(data))
+            if row.phase is Phase.DONE and not row.ready_chunks:
                 break
-            if not self._wait():
+            if not self._wait_for_update():
                 return
-        self._delivered = True
+        self._is_delivered = True
         if row.refusal is not None:
-            yield from self._broken(row, row.refusal)
+            yield from self._abort_stream(row, row.refusal)
 
-    def _count_taken(self, row: RequestRow, chunks: int, size: int) -> None:
-        self._taken += chunks
+    def _report_delivered(self, row: RequestRow, chunks: int, size: int) -> None:
+        self._delivered_chunks += chunks
         if row.phase is not Phase.DONE:
-            taken = Taken(row.rid, row.caller, self._taken, size)
+            taken = ChunksDelivered(row.rid, row.caller, self._delivered_chunks, size)
             self._node.ticker.put_later("", taken)
 
-    def _broken(self, row: RequestRow, refusal: Refusal) -> Iterator[bytes]:
+    def _abort_stream(self, row: RequestRow, refusal: Refusal) -> Iterator[bytes]:
         """Send the caller of a stream an error event, and break off the response."""
         if self._event_stream:
             yield b"event: error\ndata: " + error_body(refusal, row.rid) + b"\n\n"
         raise AbortError(refusal.reason.value)
 
-    def _advise(self, refusal: Refusal) -> Refusal:
+    def _restrict_retry(self, refusal: Refusal) -> Refusal:
         """Remove the retry delay from a refusal if a second run could do harm."""
         if self._repeatable or refusal.verdict is Verdict.NOT_RUN:
             return refusal
         return refusal._replace(retry_after_s=None)
 
     def _close(self) -> None:
-        if not self._delivered:
-            self._leave(Reason.CALLER_GONE)
-        self._node.forget(self._waiter)
+        if not self._is_delivered:
+            self._report_caller_gone(Reason.CALLER_GONE)
+        self._node.remove_waiter(self._waiter)
 
-    def _leave(self, reason: Reason) -> None:
+    def _report_caller_gone(self, reason: Reason) -> None:
         gone = CallerGone(self._waiter.rid, self._waiter.caller, reason)
         self._node.ticker.put("", gone)
-        self._node.forget(self._waiter)
+        self._node.remove_waiter(self._waiter)
 
 
-class _Body:
+class _ClosingBody:
     """A response body that calls a function when the response ends, also by a failure."""
 
     def __init__(self, parts: Iterator[bytes], close: Callable[[], None]) -> None:
--- a/dockreach/running.py
+++ b/dockreach/running.py
@@ -23,8 +23,8 @@
     receive,
 )
 from .agent_tables import CacheEvent as CacheEventMessage
-from .capacity import GAIN
-from .granting import MILLIS, drop_hold
+from .capacity import SMOOTHING_FACTOR
+from .granting import MS_PER_S, drop_hold
 from .messages import (
     Attach,
     Cancel,
@@ -44,7 +44,7 @@
     run = world.runs.get(message.rid)
     if run is not None:
         run.readers.setdefault(peer, Reader())
-        world.fresh.add(run.rid)
+        world.updated_runs.add(run.rid)
         return
     reason = _void_reason(world, message, peer)
     if reason is not None:
@@ -52,21 +52,21 @@
         return
     grant = world.grants.pop(message.rid)
     world.holds.pop(message.rid, None)
-    world.drain.served(grant.hold.tier, world.now)
+    world.drain_rate.record_served(grant.hold.tier, world.now)
     world.counters.commits += 1
     run = RunRow(
         rid=message.rid,
         number=message.number,
-        accepted=world.now,
-        deadline=world.now + message.deadline_ms / MILLIS,
+        accepted_at=world.now,
+        deadline=world.now + message.deadline_ms / MS_PER_S,
         hold=grant.hold,
         cached_tokens=grant.cached_tokens,
     )
     run.readers[peer] = Reader()
     world.runs[run.rid] = run
     uncached = max(1, grant.hold.prompt_tokens - grant.cached_tokens)
-    world.model.start(run.rid, uncached, grant.hold.output_tokens, world.now)
-    world.prefix.touch(grant.hold.blocks)
+    world.model.record_start(run.rid, uncached, grant.hold.output_tokens, world.now)
+    world.prefix.record_use(grant.hold.blocks)
     short = grant.hold.lane is Lane.SHORT
     world.actions.append(StartRun(message, grant.hold.tier, short))
 
@@ -80,7 +80,7 @@
     grant = world.grants.get(message.rid)
     if grant is None or grant.number != message.number or grant.hold.entry != peer:
         return Reason.GRANT_VOID
-    if grant.expires <= world.now:
+    if grant.expires_at <= world.now:
         return Reason.GRANT_VOID
     if message.deadline_ms <= 0:
         return Reason.DEADLINE
@@ -94,7 +94,7 @@
     have run it, so the engine is asked instead.
     """
     if reason is Reason.AGENT_RESTARTED:
-        _restarted(world, rid, entry, 0)
+        _look_up_earlier_run(world, rid, entry, 0)
         return
     world.fence(rid, number)
     world.counters.refused += 1
@@ -102,12 +102,12 @@
     world.send(entry, refused)
 
 
-def _restarted(world: AgentWorld, rid: str, entry: str, from_chunk: int) -> None:
+def _look_up_earlier_run(world: AgentWorld, rid: str, entry: str, from_chunk: int) -> None:
     """Ask the engine about a run that an earlier incarnation may have started."""
     world.actions.append(ResumeRun(rid, entry, from_chunk))
 
 
-def _fence_reply(world: AgentWorld, rid: str, entry: str, verdict: Verdict) -> None:
+def _send_fence_reply(world: AgentWorld, rid: str, entry: str, verdict: Verdict) -> None:
     reply = FenceReply(
         rid=rid,
         number=world.grant_number,
@@ -121,46 +121,46 @@
 def _(message: Attach, world: AgentWorld, peer: str) -> None:
     run = world.runs.get(message.rid)
     if run is not None and run.hold.organisation not in ("", message.organisation):
-        _fence_reply(world, message.rid, peer, Verdict.MAY_HAVE_RUN)
+        _send_fence_reply(world, message.rid, peer, Verdict.MAY_HAVE_RUN)
         return
     if run is not None:
         _attach(world, run, peer, message.from_chunk)
         return
     if message.incarnation != world.incarnation:
-        _restarted(world, message.rid, peer, message.from_chunk)
+        _look_up_earlier_run(world, message.rid, peer, message.from_chunk)
         return
     world.fence(message.rid, world.grant_number)
     world.counters.fenced += 1
-    _fence_reply(world, message.rid, peer, Verdict.NOT_RUN)
+    _send_fence_reply(world, message.rid, peer, Verdict.NOT_RUN)
 
 
 def _attach(world: AgentWorld, run: RunRow, entry: str, from_chunk: int) -> None:
-    run.orphaned = None
-    if from_chunk < run.base:
+    run.orphaned_at = None
+    if from_chunk < run.first_kept:
         end = Ended(rid=run.rid, chunks=0, whole=False, reason=Reason.ANSWER_DROPPED)
         world.send(entry, end)
         return
     run.readers[entry] = Reader(sent=from_chunk, acked=from_chunk)
-    world.fresh.add(run.rid)
+    world.updated_runs.add(run.rid)
 
 
 @receive.register
 def _(message: EngineResumed, world: AgentWorld, peer: str) -> None:
     del peer
     if not message.found:
-        _fence_reply(world, message.rid, message.entry, Verdict.MAY_HAVE_RUN)
+        _send_fence_reply(world, message.rid, message.entry, Verdict.MAY_HAVE_RUN)
         return
     run = world.runs.get(message.rid)
     if run is None:
-        run = _adopted(world, message.rid)
+        run = _adopted_run(world, message.rid)
         world.runs[message.rid] = run
     _attach(world, run, message.entry, message.from_chunk)
 
 
-def _adopted(world: AgentWorld, rid: str) -> RunRow:
+def _adopted_run(world: AgentWorld, rid: str) -> RunRow:
     deadline = world.now + world.policy.retention_s
     hold = Hold(rid, "", "", 0, deadline, 1, 1, 1.0, (), world.now)
-    world.model.start(rid, 1, 1, world.now)
+    world.model.record_start(rid, 1, 1, world.now)
     return RunRow(rid, 0, world.now, deadline, hold, 0)
 
 
@@ -171,7 +171,7 @@
     if run is None or reader is None:
         return
     reader.acked = max(reader.acked, message.upto)
-    world.fresh.add(run.rid)
+    world.updated_runs.add(run.rid)
 
 
 @receive.register
@@ -192,7 +192,7 @@
     """Cancel a run at the engine and send its end to the remaining readers."""
     world.counters.cancelled += 1
     world.actions.append(CancelRun(run.rid))
-    _end(world, run, whole=False, reason=reason)
+    _end_run(world, run, whole=False, reason=reason)
 
 
 @receive.register
@@ -202,17 +202,17 @@
     run = world.runs.get(chunk.rid)
     if run is None or run.end is not None or chunk.number < run.next_chunk:
         return
-    run.ahead[chunk.number] = chunk
-    while (chunk_next := run.ahead.pop(run.next_chunk, None)) is not None:
-        _keep(world, run, chunk_next)
-    world.fresh.add(run.rid)
+    run.out_of_order[chunk.number] = chunk
+    while (chunk_next := run.out_of_order.pop(run.next_chunk, None)) is not None:
+        _store_chunk(world, run, chunk_next)
+    world.updated_runs.add(run.rid)
 
 
-def _keep(world: AgentWorld, run: RunRow, chunk: Chunk) -> None:
+def _store_chunk(world: AgentWorld, run: RunRow, chunk: Chunk) -> None:
     run.chunks.append(chunk)
     run.kept_bytes += len(chunk.data)
     world.kept_bytes += len(chunk.data)
-    world.model.progress(run.rid, chunk.tokens, world.now)
+    world.model.record_tokens(run.rid, chunk.tokens, world.now)
 
 
 @receive.register
@@ -223,7 +223,7 @@
         return
     whole = message.whole and run.next_chunk == message.chunks
     reason = None if whole else (message.reason or Reason.ENGINE_LOST)
-    _end(
+    _end_run(
         world,
         run,
         whole=whole,
@@ -233,7 +233,7 @@
     )
 
 
-def _end(
+def _end_run(
     world: AgentWorld,
     run: RunRow,
     *,
@@ -250,16 +250,16 @@
         prefill_tokens=prefill_tokens,
         cached_tokens=cached_tokens,
     )
-    run.ahead.clear()
+    run.out_of_order.clear()
     if whole:
-        world.busy_s = 0.0
+        world.backoff_s = 0.0
         world.counters.whole += 1
     else:
         world.counters.broken += 1
-    world.model.finish(run.rid, world.now, whole=whole)
-    world.ended_order.append(run.rid)
-    world.remember_until("runs", run.rid)
-    world.fresh.add(run.rid)
+    world.model.record_end(run.rid, world.now, whole=whole)
+    world.ended_runs.append(run.rid)
+    world.schedule_expiry("runs", run.rid)
+    world.updated_runs.add(run.rid)
 
 
 @receive.register
@@ -272,20 +272,20 @@
         _back_off(world)
     if run is None:
         return
-    world.model.finish(run.rid, world.now, whole=False)
+    world.model.record_end(run.rid, world.now, whole=False)
     for entry in run.readers:
         refuse(world, run.rid, run.number, entry, Reason.ENGINE_REFUSED)
     world.fence(run.rid, run.number)
 
 
-BUSY_S = 0.05
-BUSY_MAX_S = 2.0
+MIN_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 2.0
 
 
 def _back_off(world: AgentWorld) -> None:
     """Stop granting for a while after the engine refused a request because it is busy."""
-    world.busy_s = min(BUSY_MAX_S, max(BUSY_S, 2 * world.busy_s))
-    world.busy_until = world.now + world.busy_s
+    world.backoff_s = min(MAX_BACKOFF_S, max(MIN_BACKOFF_S, 2 * world.backoff_s))
+    world.backoff_until = world.now + world.backoff_s
 
 
 @receive.register
@@ -297,7 +297,7 @@
 @receive.register
 def _(message: CacheEventMessage, world: AgentWorld, peer: str) -> None:
     del peer
-    if not world.prefix.apply(message.number, message.stored, message.evicted):
+    if not world.prefix.apply_event(message.number, message.stored, message.evicted):
         world.counters.cache_gaps += 1
 
 
@@ -306,9 +306,11 @@
     del peer
     model = world.model
     if message.gap is not None:
-        model.gap += 2 * GAIN * (message.gap - model.gap)
+        model.gap += 2 * SMOOTHING_FACTOR * (message.gap - model.gap)
     if message.prefill_rate is not None:
-        model.prefill_rate += 2 * GAIN * (message.prefill_rate - model.prefill_rate)
+        model.prefill_rate += (
+            2 * SMOOTHING_FACTOR * (message.prefill_rate - model.prefill_rate)
+        )
 
 
 @receive.register
@@ -316,16 +318,16 @@
     known = world.entries.get(peer)
     world.entries[peer] = message.incarnation
     if known is not None and known != message.incarnation:
-        _forget_entry(world, peer)
+        _remove_entry(world, peer)
 
 
 @receive.register
 def _(message: PeerDown, world: AgentWorld, peer: str) -> None:
     del message
-    _forget_entry(world, peer)
+    _remove_entry(world, peer)
 
 
-def _forget_entry(world: AgentWorld, peer: str) -> None:
+def _remove_entry(world: AgentWorld, peer: str) -> None:
     """Drop the holds of an entry that was lost or restarted.
 
     Its runs continue, so that an entry can attach to them later.
@@ -334,37 +336,37 @@
         drop_hold(world, hold)
     for run in world.runs.values():
         if run.readers.pop(peer, None) and not run.readers and run.end is None:
-            run.orphaned = world.now
+            run.orphaned_at = world.now
 
 
-def deliver(world: AgentWorld) -> None:
+def deliver_chunks(world: AgentWorld) -> None:
     """System: send stored chunks to each reader, up to its window."""
-    for rid in world.fresh:
+    for rid in world.updated_runs:
         run = world.runs.get(rid)
         if run is None:
             continue
         for entry, reader in run.readers.items():
             _deliver_to(world, run, entry, reader)
-    world.fresh.clear()
+    world.updated_runs.clear()
 
 
 def _deliver_to(world: AgentWorld, run: RunRow, entry: str, reader: Reader) -> None:
-    first_unacked = max(reader.acked, run.base)
+    first_unacked = max(reader.acked, run.first_kept)
     unacked = sum(
-        len(run.chunks[index - run.base].data)
+        len(run.chunks[index - run.first_kept].data)
         for index in range(first_unacked, reader.sent)
     )
-    while reader.sent < run.next_chunk and unacked < world.policy.reader_window:
-        chunk = run.chunks[reader.sent - run.base]
+    while reader.sent < run.next_chunk and unacked < world.policy.reader_window_bytes:
+        chunk = run.chunks[reader.sent - run.first_kept]
         world.send(entry, chunk)
         reader.sent += 1
         unacked += len(chunk.data)
-    if run.end is not None and reader.sent == run.next_chunk and not reader.told_end:
+    if run.end is not None and reader.sent == run.next_chunk and not reader.end_sent:
         world.send(entry, run.end)
-        reader.told_end = True
+        reader.end_sent = True
 
 
-def backlog_bytes(run: RunRow) -> int:
+def unacked_bytes(run: RunRow) -> int:
     """Return the estimated bytes that the slowest reader has not yet acknowledged.
 
     The adapter stops reading from the engine while there are too many.
@@ -372,48 +374,48 @@
     if not run.readers:
         return 0
     acked = min(reader.acked for reader in run.readers.values())
-    unacked_chunks = run.next_chunk - max(acked, run.base)
+    unacked_chunks = run.next_chunk - max(acked, run.first_kept)
     if unacked_chunks <= 0 or not run.chunks:
         return 0
     mean_bytes = run.kept_bytes / len(run.chunks)
     return int(unacked_chunks * mean_bytes)
 
 
-def expire_orphans(world: AgentWorld) -> None:
+def cancel_orphans(world: AgentWorld) -> None:
     """System: cancel runs that are past their deadline and have had no reader for long."""
     expired = [
         run
         for run in world.runs.values()
-        if run.orphaned is not None
+        if run.orphaned_at is not None
         and run.end is None
-        and world.now > run.orphaned + world.policy.orphan_s
+        and world.now > run.orphaned_at + world.policy.orphan_timeout_s
         and world.now > run.deadline
     ]
     for run in expired:
         cancel_run(world, run, Reason.CALLER_GONE)
 
 
-def bound_answers(world: AgentWorld) -> None:
+def limit_answer_memory(world: AgentWorld) -> None:
     """System: keep the memory of stored answers under its limit.
 
     Chunks that a reader has not acknowledged are never dropped; the reader's window
     limits them.
     """
-    if world.kept_bytes <= world.policy.answer_bytes:
+    if world.kept_bytes <= world.policy.max_answer_bytes:
         return
-    for rid in list(world.ended_order):
+    for rid in list(world.ended_runs):
         run = world.runs.get(rid)
         if run is not None:
-            _trim(world, run)
+            _drop_acknowledged(world, run)
         if run is None or not run.chunks:
-            world.ended_order.remove(rid)
-        if world.kept_bytes <= world.policy.answer_bytes:
+            world.ended_runs.remove(rid)
+        if world.kept_bytes <= world.policy.max_answer_bytes:
             return
     for run in world.runs.values():
-        _trim(world, run)
+        _drop_acknowledged(world, run)
 
 
-def _trim(world: AgentWorld, run: RunRow) -> None:
+def _drop_acknowledged(world: AgentWorld, run: RunRow) -> None:
     """Drop the chunks that every reader has acknowledged.
 
     The row itself stays: it records that the request ran.
@@ -424,14 +426,14 @@
         upto = run.next_chunk
     else:
         return
-    while run.chunks and run.base < upto:
+    while run.chunks and run.first_kept < upto:
         chunk = run.chunks.popleft()
-        run.base += 1
+        run.first_kept += 1
         run.kept_bytes -= len(chunk.data)
         world.kept_bytes -= len(chunk.data)
 
 
-def forget_run(world: AgentWorld, rid: str) -> None:
+def remove_run(world: AgentWorld, rid: str) -> None:
     """Delete a run after its retention time; no entry can attach to it any more."""
     run = world.runs.pop(rid, None)
     if run is not None:
--- a/dockreach/standin_engine.py
+++ b/dockreach/standin_engine.py
@@ -25,9 +25,9 @@
 import eventlet.wsgi  # noqa: E402
 import msgspec  # noqa: E402
 
-from .intake import Completion, prompt_text  # noqa: E402
-from .orders import EndpointState, Order  # noqa: E402
-from .prefix import BLOCK_TOKENS, block_hashes, token_count  # noqa: E402
+from .orders import EndpointState, LoadOrder  # noqa: E402
+from .prefix import BLOCK_TOKENS, block_hashes, estimate_tokens  # noqa: E402
+from .request_parsing import Completion, prompt_text  # noqa: E402
 
 STEP_S = 0.002
 IDLE_STEP_S = 0.005
@@ -106,7 +106,7 @@
         self.cache: OrderedDict[int, None] = OrderedDict()
         self.events: deque[dict[str, Any]] = deque(maxlen=KEPT_EVENTS)
         self.event_number = 0
-        self.orders: list[Order] = []
+        self.orders: list[LoadOrder] = []
         self.state = EndpointState()
         self._order = 0
         self._current: Run | None = None
@@ -121,7 +121,7 @@
             priority=priority,
             order=self._order,
             blocks=block_hashes(text),
-            prompt_tokens=token_count(text),
+            prompt_tokens=estimate_tokens(text),
             output_tokens=limit or DEFAULT_OUTPUT,
             seed=blake2b(text.encode(), digest_size=3).hexdigest(),
         )
@@ -131,7 +131,7 @@
         self.queue.append(run)
         return run
 
-    def order(self, order: Order) -> bool:
+    def order(self, order: LoadOrder) -> bool:
         """Apply an order; return ``False`` if its fence is not above the last one's."""
         if self.orders and order.fence <= self.orders[-1].fence:
             return False
@@ -261,7 +261,7 @@
             rows_after = [row for row in self.engine.events if row["number"] > after]
             return _json(start, rows_after)
         if path == "/v1/orders" and method == "POST":
-            applied = self.engine.order(msgspec.json.decode(body, type=Order))
+            applied = self.engine.order(msgspec.json.decode(body, type=LoadOrder))
             status = "200 OK" if applied else "409 Conflict"
             return _json(start, {"taken": applied}, status)
         if path == "/v1/state":
--- a/dockreach/ticker.py
+++ b/dockreach/ticker.py
@@ -7,14 +7,14 @@
 
 from . import clock
 
-IDLE_S = 0.5
+MAX_IDLE_S = 0.5
 """Longest wait between two ticks."""
 
-GATHER_S = 0.01
+COALESCE_DELAY_S = 0.01
 """How long messages that may wait, such as the later chunks of a response, are held back so
 that one tick handles several of them."""
 
-PAUSE_S = 2.0
+PAUSE_THRESHOLD_S = 2.0
 """Overrun of a wait above which the process is assumed to have been stopped meanwhile."""
 
 Inbox = list[tuple[str, object]]
@@ -26,22 +26,22 @@
     Args:
         tick: Called with the messages and the monotonic time; returns when the next tick
             is due.
-        paused: Called before the tick if the process was stopped, with the length of the
+        on_pause: Called before the tick if the process was stopped, with the length of the
             wait in seconds.
-        gather_s: How long a message that may wait is held back.
+        coalesce_delay_s: How long a message that may wait is held back.
     """
 
     def __init__(
         self,
         tick: Callable[[Inbox, float], float | None],
-        paused: Callable[[float], None],
+        on_pause: Callable[[float], None],
         *,
-        gather_s: float = GATHER_S,
+        coalesce_delay_s: float = COALESCE_DELAY_S,
     ) -> None:
         self._tick = tick
-        self._paused = paused
-        self._gather_s = gather_s
-        self._gathering = False
+        self._on_pause = on_pause
+        self._coalesce_delay_s = coalesce_delay_s
+        self._is_coalescing = False
         self._inbox: Inbox = []
         self._wake = asyncio.Event()
         self._stopped = False
@@ -55,9 +55,9 @@
     def put_later(self, peer: str, message: object) -> None:
         """Add a message that may wait, so that one tick handles several of them."""
         self._inbox.append((peer, message))
-        if not self._gathering:
-            self._gathering = True
-            asyncio.get_event_loop().call_later(self._gather_s, self._wake.set)
+        if not self._is_coalescing:
+            self._is_coalescing = True
+            asyncio.get_event_loop().call_later(self._coalesce_delay_s, self._wake.set)
 
     def stop(self) -> None:
         """End `run` after at most one more tick."""
@@ -71,14 +71,14 @@
             before = clock.now()
             await self._wait(wake_in)
             now = clock.now()
-            if now - before > wake_in + PAUSE_S:
-                self._paused(now - before)
+            if now - before > wake_in + PAUSE_THRESHOLD_S:
+                self._on_pause(now - before)
             inbox = self._inbox
             self._inbox = []
-            self._gathering = False
+            self._is_coalescing = False
             due = self._tick(inbox, now)
             self.ticks += 1
-            wake_in = IDLE_S if due is None else min(IDLE_S, max(0.0, due - now))
+            wake_in = MAX_IDLE_S if due is None else min(MAX_IDLE_S, max(0.0, due - now))
 
     async def _wait(self, seconds: float) -> None:
         if not self._wake.is_set():
--- a/tests/test_callers.py
+++ b/tests/test_caller_api.py
@@ -22,7 +22,7 @@
     yield from deployed(fleet(1, services=1, limits=LIMITS))
 
 
-def raw(deployment: Deployment, data: bytes, *, finish: bool = True) -> bytes:
+def send_raw(deployment: Deployment, data: bytes, *, finish: bool = True) -> bytes:
     """Send bytes to an entry and return everything that it sends back.
 
     A server that refuses a request before it has read all of it resets the connection. The
@@ -44,10 +44,10 @@
 def post(deployment: Deployment, body: bytes, *headers: str, path: str = "") -> bytes:
     head = [f"POST {path or '/v1/completions'} HTTP/1.1", "Host: x", "Connection: close"]
     head += [*headers, f"Content-Length: {len(body)}", "", ""]
-    return raw(deployment, "\r\n".join(head).encode() + body)
+    return send_raw(deployment, "\r\n".join(head).encode() + body)
 
 
-def body(**changes: object) -> bytes:
+def completion_body(**changes: object) -> bytes:
     fields = {"model": "m", "prompt": "hello", "max_tokens": 3, **changes}
     return json.dumps(fields).encode()
 
@@ -59,11 +59,11 @@
         (b"\xff\xfe{}", 400, "bad_request"),
         (b'{"model":"m","prompt":"\xff"}', 400, "bad_request"),
         (b"[]", 400, "bad_request"),
-        (body(max_tokens=0), 400, "bad_request"),
-        (body(max_tokens="many"), 400, "bad_request"),
-        (body(prompt=""), 400, "bad_request"),
-        (body(model="unknown"), 404, "unknown_model"),
-        (body(prompt="x" * 30000), 413, "too_large"),
+        (completion_body(max_tokens=0), 400, "bad_request"),
+        (completion_body(max_tokens="many"), 400, "bad_request"),
+        (completion_body(prompt=""), 400, "bad_request"),
+        (completion_body(model="unknown"), 404, "unknown_model"),
+        (completion_body(prompt="x" * 30000), 413, "too_large"),
     ],
 )
 def test_invalid_body_is_refused(
@@ -92,7 +92,7 @@
 def test_invalid_header_is_refused(
     small: Deployment, headers: tuple[str, ...], status: int
 ) -> None:
-    response = post(small, body(), *headers)
+    response = post(small, completion_body(), *headers)
     assert response.startswith(f"HTTP/1.1 {status}".encode())
 
 
@@ -103,7 +103,7 @@
 
 def test_too_many_headers_are_refused(small: Deployment) -> None:
     flood = [f"X-Flood-{index}: {'y' * 1000}" for index in range(100)]
-    response = post(small, body(), AUTH, *flood)
+    response = post(small, completion_body(), AUTH, *flood)
     assert response == b"" or b" 400 Headers Too Large" in response.split(b"\r\n")[0]
     assert Caller(small, tokens=5).end().whole
 
@@ -111,21 +111,21 @@
 def test_slow_sender_is_disconnected_without_delaying_others(small: Deployment) -> None:
     """A body that stops arriving must not occupy the entry for ever."""
     head = f"POST /v1/completions HTTP/1.1\r\nHost: x\r\n{AUTH}\r\nContent-Length: 500"
-    response = raw(small, head.encode() + b"\r\n\r\nhalf", finish=False)
+    response = send_raw(small, head.encode() + b"\r\n\r\nhalf", finish=False)
     assert response == b"" or response.startswith(b"HTTP/1.1 400")
     assert Caller(small, tokens=5).end().whole
 
 
 def test_truncated_body_is_refused(small: Deployment) -> None:
     head = f"POST /v1/completions HTTP/1.1\r\nHost: x\r\n{AUTH}\r\nContent-Length: 500"
-    response = raw(small, head.encode() + b"\r\n\r\nhalf")
+    response = send_raw(small, head.encode() + b"\r\n\r\nhalf")
     assert b"400" in response.split(b"\r\n")[0]
 
 
 def test_plain_service_receives_method_path_query_and_body(small: Deployment) -> None:
     head = ["PUT /services/records/a/b?c=d HTTP/1.1", "Host: x", "Connection: close"]
     head += [AUTH, "Content-Length: 2", "", "hi"]
-    response = raw(small, "\r\n".join(head).encode())
+    response = send_raw(small, "\r\n".join(head).encode())
     assert response.startswith(b"HTTP/1.1 200")
     assert b'"method":"PUT","path":"/a/b","query":"c=d","body":"hi"' in response
 
@@ -147,7 +147,7 @@
 
 def test_caller_that_stops_reading_does_not_block_others(small: Deployment) -> None:
     """A caller that does not read its stream must not hold up the responses of others."""
-    data = body(max_tokens=900, stream=True)
+    data = completion_body(max_tokens=900, stream=True)
     head = ["POST /v1/completions HTTP/1.1", "Host: x", AUTH]
     head += [f"Content-Length: {len(data)}", "", ""]
     port = small.entries["entry1"].http
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -14,12 +14,12 @@
 RID = "k-1"
 
 
-def try_key(net: Net, entry: str, rounds: int = 10) -> None:
+def send_keyed_request(net: Net, entry: str, rounds: int = 10) -> None:
     net.put(entry, admit(RID, key=True))
     net.steps(rounds)
 
 
-def answer(net: Net) -> None:
+def answer_runs(net: Net) -> None:
     for agent, rid in set(net.dispatched):
         net.put(agent, EngineChunk(Chunk(rid, 0, b"x", 1, 200, "text/plain")))
         net.put(agent, EngineEnded(rid, True, 1))
@@ -38,28 +38,28 @@
 
 def test_retry_through_another_entry_attaches_to_run() -> None:
     net = new_net(endpoints=3, entries=2)
-    try_key(net, "n0")
+    send_keyed_request(net, "n0")
     net.frozen.add("n0")
-    try_key(net, "n1")
-    answer(net)
+    send_keyed_request(net, "n1")
+    answer_runs(net)
     row = net.request(RID, "n1")
     assert row.refusal is None
-    assert row.ready[0].data == b"x"
+    assert row.ready_chunks[0].data == b"x"
     assert net.runs_of(RID) == 1
 
 
 def test_retry_after_end_gets_stored_answer() -> None:
     net = new_net(endpoints=3, entries=2)
-    try_key(net, "n0")
-    answer(net)
-    try_key(net, "n1")
+    send_keyed_request(net, "n0")
+    answer_runs(net)
+    send_keyed_request(net, "n1")
     assert net.request(RID, "n1").refusal is None
     assert net.runs_of(RID) == 1
 
 
 def test_restarted_owner_rebuilds_claims_from_runs() -> None:
     net = new_net(endpoints=3, entries=2)
-    try_key(net, "n0")
+    send_keyed_request(net, "n0")
     owner = owner_of(net.entries["n1"], RID)
     assert owner is not None
     net.restart_agent(owner)
@@ -68,8 +68,8 @@
     net.frozen.add("n0")
     net.inboxes.pop("n0", None)
     net.unlink("n0", owner)
-    try_key(net, "n1", 20)
-    answer(net)
+    send_keyed_request(net, "n1", 20)
+    answer_runs(net)
     assert net.runs_of(RID) == 1
     assert net.request(RID, "n1").refusal is None
 
@@ -80,7 +80,7 @@
     assert owner is not None
     net.restart_agent(owner)
     net.steps(3)
-    try_key(net, "n0")
+    send_keyed_request(net, "n0")
     assert net.request(RID).phase is Phase.WAITING
     assert not net.commits(RID)
     begin_rebuild(net.agents[owner])
@@ -94,7 +94,7 @@
     assert owner is not None
     net.unlink("n0", owner)
     net.steps(2)
-    try_key(net, "n0")
+    send_keyed_request(net, "n0")
     refusal = net.request(RID).refusal
     assert refusal is not None
     assert refusal.verdict is Verdict.MAY_HAVE_RUN
@@ -109,7 +109,7 @@
     net.step()
     net.frozen.add("n0")
     late = net.inboxes.pop("n0", [])
-    try_key(net, "n1", 20)
+    send_keyed_request(net, "n1", 20)
     assert net.runs_of(RID) == 1
     net.frozen.clear()
     net.inboxes["n0"] = late
@@ -120,7 +120,7 @@
 
 def test_key_reused_with_another_body_is_refused() -> None:
     net = new_net(endpoints=3, entries=2)
-    try_key(net, "n0")
+    send_keyed_request(net, "n0")
     changed = msgspec.structs.replace(admit(RID, key=True), digest="e")
     net.put("n1", changed)
     net.steps(6)
@@ -131,9 +131,9 @@
 
 def test_second_attempt_at_same_entry_supersedes_first() -> None:
     net = new_net(endpoints=3)
-    try_key(net, "n0", 2)
-    try_key(net, "n0", 12)
-    answer(net)
+    send_keyed_request(net, "n0", 2)
+    send_keyed_request(net, "n0", 12)
+    answer_runs(net)
     assert net.request(RID).refusal is None
     assert net.runs_of(RID) == 1
 
@@ -161,7 +161,7 @@
     net.frozen = {"n0"}
     net.step()
     late = net.inboxes.pop("n0", [])
-    try_key(net, "n1", 20)
+    send_keyed_request(net, "n1", 20)
     assert net.dispatched == [(first, RID)]
     net.frozen = {first}
     net.inboxes["n0"] = late
--- a/tests/test_commitment.py
+++ b/tests/test_commitment.py
@@ -8,7 +8,7 @@
 from .cores import Net, admit, new_net
 
 
-def committed(net: Net, rid: str = "r1") -> str:
+def commit_request(net: Net, rid: str = "r1") -> str:
     """Admit a request and step until it is committed; return the agent's name."""
     net.put("n0", admit(rid))
     net.steps(6)
@@ -17,7 +17,7 @@
     return row.agent
 
 
-def finish(net: Net, agent: str, rid: str = "r1", chunks: int = 1) -> None:
+def finish_run(net: Net, agent: str, rid: str = "r1", chunks: int = 1) -> None:
     for number in range(chunks):
         net.put(agent, EngineChunk(Chunk(rid, number, b"x", 1, 200, "text/plain")))
     net.put(agent, EngineEnded(rid, True, chunks))
@@ -26,11 +26,11 @@
 
 def test_request_gets_complete_answer() -> None:
     net = new_net()
-    agent = committed(net)
-    finish(net, agent, chunks=3)
+    agent = commit_request(net)
+    finish_run(net, agent, chunks=3)
     row = net.request("r1")
     assert row.refusal is None
-    assert b"".join(chunk.data for chunk in row.ready) == b"xxx"
+    assert b"".join(chunk.data for chunk in row.ready_chunks) == b"xxx"
     assert net.runs_of("r1") == 1
 
 
@@ -47,12 +47,12 @@
     net.link("n0", agent)
     net.steps(12)
     assert net.runs_of("r1") == 1
-    assert [step.event for step in net.request("r1").steps].count("commit") == 2
+    assert [step.event for step in net.request("r1").decisions].count("commit") == 2
 
 
 def test_link_lost_after_dispatch_resumes_same_run() -> None:
     net = new_net()
-    agent = committed(net)
+    agent = commit_request(net)
     net.put(agent, EngineChunk(Chunk("r1", 0, b"a", 1, 200, "text/plain")))
     net.steps(2)
     net.unlink("n0", agent)
@@ -64,13 +64,13 @@
     net.steps(6)
     row = net.request("r1")
     assert row.refusal is None
-    assert b"".join(chunk.data for chunk in row.ready) == b"ab"
+    assert b"".join(chunk.data for chunk in row.ready_chunks) == b"ab"
     assert net.runs_of("r1") == 1
 
 
 def test_unreachable_agent_gives_may_have_run_without_second_dispatch() -> None:
     net = new_net()
-    agent = committed(net)
+    agent = commit_request(net)
     net.unlink("n0", agent)
     net.steps(30, 0.25)
     refusal = net.request("r1").refusal
@@ -82,7 +82,7 @@
 
 def test_deleted_vm_ends_request_immediately() -> None:
     net = new_net()
-    agent = committed(net)
+    agent = commit_request(net)
     net.unlink("n0", agent)
     net.steps(2)
     net.put("n0", AgentGone(), agent)
@@ -94,12 +94,12 @@
 
 def test_restarted_agent_resumes_run_known_to_engine() -> None:
     net = new_net()
-    agent = committed(net)
+    agent = commit_request(net)
     net.restart_agent(agent)
     net.steps(3)
     net.put(agent, EngineResumed("r1", "n0", True, 0))
     net.steps(2)
-    finish(net, agent)
+    finish_run(net, agent)
     row = net.request("r1")
     assert row.refusal is None
     assert net.runs_of("r1") == 1
@@ -107,7 +107,7 @@
 
 def test_restarted_agent_without_run_gives_may_have_run() -> None:
     net = new_net()
-    agent = committed(net)
+    agent = commit_request(net)
     net.restart_agent(agent)
     net.steps(3)
     net.put(agent, EngineResumed("r1", "n0", False, 0))
@@ -120,7 +120,7 @@
 
 def test_request_refused_by_engine_is_committed_again() -> None:
     net = new_net()
-    agent = committed(net)
+    agent = commit_request(net)
     net.put(agent, EngineNotRun("r1"))
     net.steps(8)
     row = net.request("r1")
@@ -130,7 +130,7 @@
 
 def test_answer_with_missing_chunks_is_not_complete() -> None:
     net = new_net()
-    agent = committed(net)
+    agent = commit_request(net)
     net.put(agent, EngineChunk(Chunk("r1", 0, b"a", 1, 200, "text/plain")))
     net.put(agent, EngineEnded("r1", True, 5))
     net.steps(4)
@@ -157,8 +157,8 @@
 
 def test_ticket_attaches_only_for_its_own_organisation() -> None:
     net = new_net(entries=2)
-    agent = committed(net)
-    finish(net, agent)
+    agent = commit_request(net)
+    finish_run(net, agent)
     for organisation, verdict in (("other", Verdict.MAY_HAVE_RUN), ("org", None)):
         message = AttachRun("r1", organisation, 0, "", 5.0, agent, 1, True)
         net.put("n1", message)
--- a/tests/test_spreading.py
+++ b/tests/test_config_store.py
@@ -2,47 +2,47 @@
 
 import pytest
 
+from dockreach.config_store import ConfigStore
 from dockreach.errors import RevisionError
 from dockreach.messages import ConfigBody, ConfigDelta
-from dockreach.spreading import ConfigStore
 
 BODY = "[fleet]\nrevision=%d\n\n[pool p]\ndescription=%s\n\n[pool q]\n"
 
 
-def store(revision: int, text: str = "a") -> ConfigStore:
+def make_store(revision: int, text: str = "a") -> ConfigStore:
     found = ConfigStore()
-    found.offer(BODY % (revision, text), "test")
+    found.accept(BODY % (revision, text), "test")
     return found
 
 
 def test_older_revision_is_refused() -> None:
-    current = store(5)
+    current = make_store(5)
     with pytest.raises(RevisionError):
-        current.offer(BODY % (4, "a"), "stale platform")
+        current.accept(BODY % (4, "a"), "stale platform")
     assert current.revision == 5
     assert current.stale == 1
 
 
 def test_another_body_under_the_same_revision_is_refused() -> None:
-    current = store(5)
+    current = make_store(5)
     with pytest.raises(RevisionError):
-        current.offer(BODY % (5, "b"), "platform")
+        current.accept(BODY % (5, "b"), "platform")
     assert current.conflicts == 1
-    assert current.offer(BODY % (5, "a"), "platform") is None
+    assert current.accept(BODY % (5, "a"), "platform") is None
 
 
 def test_invalid_body_does_not_replace_the_current_one() -> None:
-    current = store(5)
+    current = make_store(5)
     for body in ("rubbish", "[fleet]\nrevision=x\n", "#" * (1 << 20) + "##"):
         with pytest.raises(RevisionError):
-            current.offer(body, "platform")
+            current.accept(body, "platform")
     assert current.revision == 5
     assert current.invalid == 3
 
 
 def test_peer_one_revision_behind_receives_only_the_difference() -> None:
-    ahead, behind = store(5, "a"), store(5, "a")
-    ahead.offer(BODY % (6, "b"), "platform")
+    ahead, behind = make_store(5, "a"), make_store(5, "a")
+    ahead.accept(BODY % (6, "b"), "platform")
     ask = behind.on_heartbeat(6, ahead.digest)
     assert ask is not None
     delta = ahead.on_ask(ask.revision)
@@ -57,8 +57,8 @@
 
     A difference then produces a third body, which its hash reveals.
     """
-    ahead, behind = store(5, "a"), store(5, "c")
-    ahead.offer(BODY % (6, "b") + "[pool r]\n", "platform")
+    ahead, behind = make_store(5, "a"), make_store(5, "c")
+    ahead.accept(BODY % (6, "b") + "[pool r]\n", "platform")
     delta = ahead.on_ask(5)
     assert isinstance(delta, ConfigDelta)
     changed = dict(delta.changed)
@@ -68,11 +68,11 @@
         behind.on_delta(broken, "peer")
     complete = ahead.on_ask(0)
     assert isinstance(complete, ConfigBody)
-    behind.offer(complete.body, "peer")
+    behind.accept(complete.body, "peer")
     assert behind.digest == ahead.digest
 
 
 def test_conflict_seen_in_a_heartbeat_is_counted() -> None:
-    current = store(5)
+    current = make_store(5)
     assert current.on_heartbeat(5, "other") is None
     assert current.conflicts == 1
--- a/tests/test_dispatch_machine.py
+++ b/tests/test_dispatch_machine.py
@@ -33,8 +33,8 @@
         self.net: Net = new_net(endpoints=3, entries=2)
         self.count = 0
         self.keys: list[str] = []
-        self.engine: dict[tuple[str, str], int] = {}
-        self.told: dict[str, Verdict] = {}
+        self.engine_chunks: dict[tuple[str, str], int] = {}
+        self.verdicts: dict[str, Verdict] = {}
         self.restarts = 0
 
     @rule(keyed=st.booleans(), entry=st.sampled_from(["n0", "n1"]), tier=st.integers(0, 2))
@@ -63,18 +63,18 @@
 
     @rule(data=st.data(), refuse=st.booleans())
     def engine_works(self, data: st.DataObject, refuse: bool) -> None:
-        running = [key for key, done in self._engines().items() if done < CHUNKS]
+        running = [key for key, done in self._update_engines().items() if done < CHUNKS]
         if not running:
             return
         agent, rid = data.draw(st.sampled_from(sorted(running)))
-        done = self.engine[agent, rid]
+        done = self.engine_chunks[agent, rid]
         if refuse and done == 0:
             # The engine refused the request, so this dispatch does not count as a run.
             self.net.dispatched.remove((agent, rid))
-            del self.engine[agent, rid]
+            del self.engine_chunks[agent, rid]
             self.net.put(agent, EngineNotRun(rid))
         else:
-            self.engine[agent, rid] = done + 1
+            self.engine_chunks[agent, rid] = done + 1
             chunk = Chunk(rid, done, b"x", 1, 200, "text/plain")
             self.net.put(agent, EngineChunk(chunk))
             if done + 1 == CHUNKS:
@@ -115,7 +115,7 @@
             assert self.net.runs_of(rid) <= 1
 
     @invariant()
-    def not_run_is_true(self) -> None:
+    def not_run_verdict_is_correct(self) -> None:
         for world in self.net.entries.values():
             for row in world.ended:
                 if row.refusal is None or row.keyed:
@@ -124,29 +124,29 @@
                     assert self.net.runs_of(row.rid) == 0
 
     @invariant()
-    def an_answer_is_whole_and_in_order(self) -> None:
+    def answers_are_complete_and_in_order(self) -> None:
         for world in self.net.entries.values():
             for row in world.ended:
                 if row.refusal is None and row.agent:
-                    numbers = [chunk.number for chunk in row.ready]
+                    numbers = [chunk.number for chunk in row.ready_chunks]
                     assert numbers == list(range(CHUNKS))
 
-    def _engines(self) -> dict[tuple[str, str], int]:
+    def _update_engines(self) -> dict[tuple[str, str], int]:
         for key in self.net.dispatched:
-            self.engine.setdefault(key, 0)
+            self.engine_chunks.setdefault(key, 0)
         for agent, action in self.net.lookups:
-            known = (agent, action.rid) in self.engine
+            known = (agent, action.rid) in self.engine_chunks
             answer = EngineResumed(action.rid, action.entry, known, 0)
             self.net.put(agent, answer)
             if known:
-                done = self.engine[agent, action.rid]
+                done = self.engine_chunks[agent, action.rid]
                 for number in range(done):
                     chunk = Chunk(action.rid, number, b"x", 1, 200, "text/plain")
                     self.net.put(agent, EngineChunk(chunk))
                 if done == CHUNKS:
                     self.net.put(agent, EngineEnded(action.rid, True, CHUNKS))
         self.net.lookups.clear()
-        return self.engine
+        return self.engine_chunks
 
 
 TestDispatch = Dispatch.TestCase
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -7,7 +7,7 @@
 import pytest
 
 from dockreach.direct.feeds import CallLimits
-from dockreach.entry_node import SETTLE_S, EntryNode
+from dockreach.entry_node import CONFIG_APPLY_DEADLINE_S, EntryNode
 from dockreach.errors import PlatformError
 from dockreach.settings import parse
 
@@ -18,7 +18,9 @@
     """Ends the loop under test."""
 
 
-def calls_of(node: EntryNode, monkeypatch: pytest.MonkeyPatch, count: int) -> list[float]:
+def record_call_durations(
+    node: EntryNode, monkeypatch: pytest.MonkeyPatch, count: int
+) -> list[float]:
     """Return the timeouts of the first calls for the configuration, which all fail."""
     timeouts: list[float] = []
 
@@ -46,6 +48,6 @@
     """
     text = EXAMPLE.read_text().replace("[platform]", f"[platform]\n{setting}")
     node = EntryNode(parse(text))
-    timeouts = calls_of(node, monkeypatch, 4)
-    assert max(timeouts) < 0.85 * SETTLE_S
+    timeouts = record_call_durations(node, monkeypatch, 4)
+    assert max(timeouts) < 0.85 * CONFIG_APPLY_DEADLINE_S
     assert min(timeouts) > 1.0
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from dockreach.intake import keyed_rid
 from dockreach.launching import Deployment, stopped, wait_until
 from dockreach.rendezvous import choose
+from dockreach.request_parsing import keyed_rid
 
 from .fleet import Caller, deployed, fleet, running
 
--- a/tests/test_granting.py
+++ b/tests/test_granting.py
@@ -11,7 +11,7 @@
 from .cores import new_agent
 
 
-class Bench:
+class AgentHarness:
     """One agent, with the grants and displaced holds that it sent."""
 
     def __init__(self) -> None:
@@ -30,12 +30,12 @@
             elif isinstance(message, Displaced):
                 self.displaced[message.rid] = message.reason
 
-    def fill(self) -> None:
+    def close_window(self) -> None:
         """Leave no free slots, so that holds are queued."""
         self.world.model.window = 0.0
-        self.world.model.adjusted = 1e9
+        self.world.model.adjusted_at = 1e9
 
-    def open(self, slots: int) -> None:
+    def open_window(self, slots: int) -> None:
         self.world.model.window = float(slots)
         self.put()
 
@@ -53,30 +53,30 @@
 
 
 def test_higher_tier_is_granted_first() -> None:
-    bench = Bench()
-    bench.fill()
+    bench = AgentHarness()
+    bench.close_window()
     bench.put(hold("low", 2), hold("middle", 1), hold("top", 0))
-    bench.open(2)
+    bench.open_window(2)
     assert bench.granted == ["top", "middle"]
 
 
 def test_organisations_in_tier_get_slots_by_share() -> None:
-    bench = Bench()
-    bench.fill()
+    bench = AgentHarness()
+    bench.close_window()
     holds = [hold(f"a{i}", org="a", share=3.0) for i in range(40)]
     holds += [hold(f"b{i}", org="b", share=1.0) for i in range(40)]
     bench.put(*holds)
-    bench.open(40)
+    bench.open_window(40)
     from_a = sum(rid.startswith("a") for rid in bench.granted)
     assert len(bench.granted) == 40
     assert from_a == 30
 
 
 def test_declined_grant_is_not_charged_to_its_organisation() -> None:
-    bench = Bench()
-    bench.fill()
+    bench = AgentHarness()
+    bench.close_window()
     bench.put(hold("a1", org="a"), hold("a2", org="a"), hold("b1", org="b"))
-    bench.open(1)
+    bench.open_window(1)
     granted_rid = bench.granted[0]
     number = bench.world.grants[granted_rid].number
     bench.put(Decline(rid=granted_rid, number=number))
@@ -84,8 +84,8 @@
 
 
 def test_full_queue_displaces_newest_hold_of_lowest_tier() -> None:
-    bench = Bench()
-    bench.fill()
+    bench = AgentHarness()
+    bench.close_window()
     bench.world.policy.queue_limit = 2
     bench.put(hold("low1", 2), hold("low2", 2), hold("top", 0))
     assert bench.displaced == {"low2": Reason.SHED}
@@ -96,8 +96,8 @@
 
 
 def test_floor_refuses_lower_tiers_until_it_expires() -> None:
-    bench = Bench()
-    bench.fill()
+    bench = AgentHarness()
+    bench.close_window()
     bench.put(hold("low", 2), hold("top", 0))
     bench.put(Floor(tier=0, lease_ms=500))
     assert bench.displaced == {"low": Reason.FLOOR}
@@ -108,18 +108,18 @@
 
 
 def test_hold_that_cannot_meet_its_deadline_is_rejected_before_prefill() -> None:
-    bench = Bench()
+    bench = AgentHarness()
     bench.put(hold("late", tokens=1000, deadline_ms=1000))
     assert bench.displaced == {"late": Reason.HOPELESS}
     assert not bench.granted
 
 
 def test_slot_is_reserved_for_short_requests_of_same_tier() -> None:
-    bench = Bench()
-    bench.fill()
+    bench = AgentHarness()
+    bench.close_window()
     longs = [hold(f"long{i}", 1, tokens=900) for i in range(6)]
     bench.put(hold("short0", 1), *longs)
-    bench.open(4)
+    bench.open_window(4)
     assert bench.granted[0] == "short0"
     assert len(bench.granted) == 3
     bench.put(hold("short1", 1))
@@ -127,16 +127,16 @@
 
 
 def test_no_slot_is_reserved_for_lower_tier() -> None:
-    bench = Bench()
-    bench.fill()
+    bench = AgentHarness()
+    bench.close_window()
     longs = [hold(f"long{i}", 1, tokens=900) for i in range(6)]
     bench.put(hold("low", 2), *longs)
-    bench.open(4)
+    bench.open_window(4)
     assert bench.granted == ["long0", "long1", "long2", "long3"]
 
 
 def test_unreachable_engine_gets_no_grants_until_reachable() -> None:
-    bench = Bench()
+    bench = AgentHarness()
     bench.put(EngineNotRun("x", unreachable=True))
     bench.put(hold("r1"))
     assert not bench.granted
@@ -147,10 +147,10 @@
 
 
 def test_backoff_of_busy_engine_doubles() -> None:
-    bench = Bench()
+    bench = AgentHarness()
     for expected in (0.05, 0.1, 0.2):
         bench.put(EngineNotRun("x"))
-        assert abs(bench.world.busy_s - expected) < 1e-9
+        assert abs(bench.world.backoff_s - expected) < 1e-9
     bench.put(hold("r1"))
     assert not bench.granted
     bench.put(seconds=1.0)
@@ -158,8 +158,8 @@
 
 
 def test_only_lowest_waiting_tier_is_rejected_for_long_wait() -> None:
-    bench = Bench()
-    bench.fill()
+    bench = AgentHarness()
+    bench.close_window()
     many = [hold(f"low{i}", 2, deadline_ms=60_000) for i in range(10)]
     bench.put(*many)
     bench.put(seconds=5.0)
@@ -173,18 +173,18 @@
 
 
 def test_suspect_engine_gets_no_grants() -> None:
-    bench = Bench()
-    bench.world.model.start("running", 10, 20, bench.now)
+    bench = AgentHarness()
+    bench.world.model.record_start("running", 10, 20, bench.now)
     bench.put(hold("r1"), seconds=30.0)
     assert not bench.granted
-    bench.world.model.progress("running", 1, bench.now)
+    bench.world.model.record_tokens("running", 1, bench.now)
     bench.put()
     assert bench.granted == ["r1"]
 
 
 def test_lane_depends_on_cost() -> None:
-    bench = Bench()
-    bench.fill()
+    bench = AgentHarness()
+    bench.close_window()
     bench.put(hold("short", tokens=10), hold("long", tokens=1000, deadline_ms=300_000))
     lanes = {item.rid: item.lane for item in bench.world.queue}
     assert lanes == {"short": Lane.SHORT, "long": Lane.LONG}
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -7,7 +7,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from dockreach.declarations import Organisation, key_hash
-from dockreach.limits import ASK_EVERY_S, LOAN_LEASE_S, LimitTable
+from dockreach.limits import LOAN_LEASE_S, MIN_ASK_INTERVAL_S, LimitTable
 from dockreach.messages import ShareLoan
 
 ORG = Organisation(
@@ -16,15 +16,15 @@
 ENTRIES = ("n0", "n1", "n2")
 
 
-def table(name: str, entries: tuple[str, ...] = ENTRIES) -> LimitTable:
+def limit_table(name: str, entries: tuple[str, ...] = ENTRIES) -> LimitTable:
     found = LimitTable(name, started=-100.0)
     found.configure({"org": ORG}, entries, 0.0)
     return found
 
 
 def test_shares_of_all_entries_add_up_to_the_limit() -> None:
-    tables = [table(name) for name in ENTRIES]
-    assert abs(sum(item.usable("org", 0.0) for item in tables) - 1.0) < 1e-9
+    tables = [limit_table(name) for name in ENTRIES]
+    assert abs(sum(item.usable_fraction("org", 0.0) for item in tables) - 1.0) < 1e-9
     assert sum(item.shares["org"].slots for item in tables) == ORG.concurrency
 
 
@@ -35,28 +35,28 @@
     """
     fresh = LimitTable("n0", started=0.0)
     fresh.configure({"org": ORG}, ENTRIES, 0.0)
-    assert fresh.usable("org", 1.0) == 0.0
+    assert fresh.usable_fraction("org", 1.0) == 0.0
     assert fresh.admit("org", 1, 1.0) is not None
-    assert fresh.usable("org", 10.0) > 0.0
+    assert fresh.usable_fraction("org", 10.0) > 0.0
 
 
 def test_larger_share_applies_after_the_others_have_reduced_theirs() -> None:
-    here = table("n0")
+    here = limit_table("n0")
     here.configure({"org": ORG}, ("n0",), 1.0, settle_s=18.0)
-    here.settle(10.0)
-    assert here.usable("org", 10.0) < 0.4
-    here.settle(19.5)
-    assert here.usable("org", 19.5) == 1.0
+    here.apply_increases(10.0)
+    assert here.usable_fraction("org", 10.0) < 0.4
+    here.apply_increases(19.5)
+    assert here.usable_fraction("org", 19.5) == 1.0
 
 
 def test_smaller_share_applies_at_once() -> None:
-    here = table("n0", ("n0",))
+    here = limit_table("n0", ("n0",))
     here.configure({"org": ORG}, ENTRIES, 1.0, settle_s=18.0)
-    assert here.usable("org", 1.0) < 0.4
+    assert here.usable_fraction("org", 1.0) < 0.4
 
 
 def test_refusal_has_a_retry_delay() -> None:
-    here = table("n0")
+    here = limit_table("n0")
     results = [here.admit("org", 1, 0.0) for _ in range(50)]
     delays = [result for result in results if result is not None]
     assert delays
@@ -70,14 +70,14 @@
         super().__init__()
         self.now = 0.0
         self.next_restart = 10.0
-        self.tables = [table(name) for name in ENTRIES]
+        self.tables = [limit_table(name) for name in ENTRIES]
         self.asks: list[tuple[int, int, float]] = []
         self.loans: list[tuple[int, ShareLoan]] = []
 
     @rule(index=st.integers(0, 2))
     def run_short(self, index: int) -> None:
-        self.now += ASK_EVERY_S
-        self.tables[index].shares["org"].refused = 1
+        self.now += MIN_ASK_INTERVAL_S
+        self.tables[index].shares["org"].refused_since_ask = 1
         for shortage in self.tables[index].shortages(self.now):
             self.asks.append((index, shortage.number, shortage.amount))
 
@@ -116,7 +116,7 @@
 
     @invariant()
     def never_more_than_the_limit(self) -> None:
-        total = sum(item.usable("org", self.now) for item in self.tables)
+        total = sum(item.usable_fraction("org", self.now) for item in self.tables)
         assert total <= 1.0 + 1e-9
 
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -4,13 +4,15 @@
 
 from dockreach.declarations import Declarations, parse
 from dockreach.launching import Deployment, wait_until
-from dockreach.orders import EndpointState, OrderBook, turn_s
+from dockreach.orders import EndpointState, LoadOrderPlanner, load_delay_s
 
 from .cores import declared
 from .fleet import fleet
 
 
-def versioned(revision: int, version: str = "v2", count: int = 6) -> Declarations:
+def versioned_declarations(
+    revision: int, version: str = "v2", count: int = 6
+) -> Declarations:
     body = f"[fleet]\nrevision={revision}\nloads_at_once=2\nload_s=10\n[pool p]\n"
     for index in range(count):
         body += f"[endpoint e{index}]\npool=p\nhall=h\nversion={version}\nadapters=a, b\n"
@@ -18,8 +20,8 @@
 
 
 def test_order_is_sent_until_endpoint_has_loaded_what_is_declared() -> None:
-    planner = OrderBook("e0", 7)
-    planner.declare(versioned(3, count=1), 0.0)
+    planner = LoadOrderPlanner("e0", 7)
+    planner.apply_declarations(versioned_declarations(3, count=1), 0.0)
     order = planner.next_order(EndpointState(), 0.0)
     assert order is not None
     assert order.fence == (3, 7, 1)
@@ -31,14 +33,14 @@
 
 
 def test_no_order_if_nothing_is_declared() -> None:
-    planner = OrderBook("e0", 7)
-    planner.declare(declared(1), 0.0)
+    planner = LoadOrderPlanner("e0", 7)
+    planner.apply_declarations(declared(1), 0.0)
     assert planner.next_order(EndpointState("old"), 0.0) is None
 
 
 def test_loads_of_a_pool_are_spread_in_time() -> None:
-    declarations = versioned(3)
-    delays_s = sorted(turn_s(declarations, name) for name in declarations.endpoints)
+    declarations = versioned_declarations(3)
+    delays_s = sorted(load_delay_s(declarations, name) for name in declarations.endpoints)
     assert delays_s == [0.0, 0.0, 10.0, 10.0, 20.0, 20.0]
 
 
--- a/tests/test_shedding.py
+++ b/tests/test_shedding.py
@@ -11,59 +11,59 @@
 from .cores import Net, admit, new_net
 
 
-def closed_net(entries: int = 1) -> Net:
+def new_net_without_slots(entries: int = 1) -> Net:
     """Return entries and agents whose engines have no free slots."""
     net = new_net(entries=entries)
     for world in net.agents.values():
         world.model.window = 0.0
-        world.model.adjusted = 1e9
+        world.model.adjusted_at = 1e9
     return net
 
 
-def big(rid: str, tier: int, size: int = 400) -> Admit:
+def large_request(rid: str, tier: int, size: int = 400) -> Admit:
     return msgspec.structs.replace(admit(rid, tier=tier, deadline=600), body=b"x" * size)
 
 
-def reason(net: Net, rid: str, entry: str = "n0") -> Reason | None:
+def refusal_reason(net: Net, rid: str, entry: str = "n0") -> Reason | None:
     refusal = net.request(rid, entry).refusal
     return None if refusal is None else refusal.reason
 
 
 def test_floor_rises_before_memory_sheds_a_higher_tier() -> None:
-    net = closed_net(entries=2)
+    net = new_net_without_slots(entries=2)
     net.entries["n0"].policy.waiting_bytes = 1000
-    net.put("n1", big("far", 2))
+    net.put("n1", large_request("far", 2))
     net.step()
-    net.put("n0", big("low", 2, 300))
-    net.put("n0", big("top", 0, 300))
+    net.put("n0", large_request("low", 2, 300))
+    net.put("n0", large_request("top", 0, 300))
     net.step()
-    assert reason(net, "low") is None
-    net.put("n0", big("top2", 0, 300))
+    assert refusal_reason(net, "low") is None
+    net.put("n0", large_request("top2", 0, 300))
     net.steps(4)
-    assert reason(net, "low") is Reason.FLOOR
-    assert reason(net, "far", "n1") is Reason.FLOOR
+    assert refusal_reason(net, "low") is Reason.FLOOR
+    assert refusal_reason(net, "far", "n1") is Reason.FLOOR
     assert net.request("top").phase is Phase.WAITING
     assert any(isinstance(item, Floor) for _, _, item in net.trace)
-    net.put("n1", big("late", 1))
+    net.put("n1", large_request("late", 1))
     net.steps(2)
-    assert reason(net, "late", "n1") is Reason.FLOOR
+    assert refusal_reason(net, "late", "n1") is Reason.FLOOR
 
 
 def test_full_memory_sheds_newest_request_of_lowest_tier() -> None:
-    net = closed_net()
+    net = new_net_without_slots()
     net.entries["n0"].policy.waiting_bytes = 1000
-    net.entries["n0"].policy.floor_at = 10.0
-    net.put("n0", big("middle1", 1))
-    net.put("n0", big("middle2", 1))
-    net.put("n0", big("top", 0))
+    net.entries["n0"].policy.floor_fraction = 10.0
+    net.put("n0", large_request("middle1", 1))
+    net.put("n0", large_request("middle2", 1))
+    net.put("n0", large_request("top", 0))
     net.steps(2)
-    assert reason(net, "middle2") is Reason.SHED
+    assert refusal_reason(net, "middle2") is Reason.SHED
     assert net.request("middle1").phase is Phase.WAITING
     assert net.request("top").phase is Phase.WAITING
 
 
 def test_request_is_shed_only_after_every_agent_displaced_it() -> None:
-    net = closed_net()
+    net = new_net_without_slots()
     first, second = net.agents.values()
     first.policy.queue_limit = 1
     net.put("n0", admit("a", tier=2, deadline=600))
@@ -73,12 +73,12 @@
     second.policy.queue_limit = 1
     net.put("n0", admit("top", tier=0, deadline=600))
     net.steps(4)
-    assert reason(net, "b") is Reason.SHED
+    assert refusal_reason(net, "b") is Reason.SHED
     assert net.request("top").phase is Phase.WAITING
 
 
 def test_shed_request_gets_not_run_verdict_and_retry_after() -> None:
-    net = closed_net()
+    net = new_net_without_slots()
     for world in net.agents.values():
         world.policy.queue_limit = 0
     net.put("n0", admit("a"))
@@ -90,7 +90,7 @@
 
 
 def test_request_that_misses_deadline_while_waiting_is_not_run() -> None:
-    net = closed_net()
+    net = new_net_without_slots()
     net.put("n0", admit("a", deadline=2.0))
     net.steps(8, 0.5)
     refusal = net.request("a").refusal
@@ -101,7 +101,7 @@
 
 
 def test_caller_leaving_while_waiting_removes_all_state() -> None:
-    net = closed_net()
+    net = new_net_without_slots()
     net.put("n0", admit("a"))
     net.steps(2)
     net.put("n0", CallerGone("a", net.request("a").caller))
