--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -18,7 +18,7 @@
 
 import click
 
-from .edited_copy import ROOT, Edit, copy_with
+from .edited_copy import ROOT, Edit, copy_repository
 
 RESULTS = ROOT / "docs/results/ablation.md"
 DAYS = ("trouble-1", "scale-1", "trouble-2", "scale-2", "trouble-3")
@@ -126,7 +126,7 @@
 not among them: without it the rule QUOTA is broken."""
 
 
-class Play(NamedTuple):
+class DayRun(NamedTuple):
     """One day to run."""
 
     mechanism: str
@@ -135,21 +135,21 @@
     seed: int
 
 
-class Played(NamedTuple):
+class DayResult(NamedTuple):
     """A day's value, and the rules that it broke, as the bench prints them."""
 
-    play: Play
-    worth: float
-    broken: str
+    run: DayRun
+    value: float
+    broken_rules: str
 
 
 class Bench(NamedTuple):
     """The customers' bench, and the directory for copies of the repository."""
 
     program: Path
-    work: Path
+    work_directory: Path
 
-    def play(self, play: Play) -> Played:
+    def run_day(self, play: DayRun) -> DayResult:
         """Run one day.
 
         Raises:
@@ -163,24 +163,24 @@
                 *(str(self.program), "run", str(play.site), play.day),
                 *("--seed", str(play.seed), "--no-cpu", "--why", why),
             ],
-            cwd=self.copy(play.mechanism),
+            cwd=self.copy_directory(play.mechanism),
             capture_output=True,
             text=True,
             check=False,
         )
-        parsed = read_day(done.stdout, play.day)
+        parsed = parse_day(done.stdout, play.day)
         if parsed is None:
             raise click.ClickException(f"{play}: {done.stdout[-500:]}{done.stderr[-500:]}")
-        return Played(play, *parsed)
+        return DayResult(play, *parsed)
 
-    def copy(self, mechanism: str) -> Path:
+    def copy_directory(self, mechanism: str) -> Path:
         """Return the directory of the copy without a mechanism."""
-        return self.work / mechanism.replace(" ", "-")
+        return self.work_directory / mechanism.replace(" ", "-")
 
-    def build(self, mechanism: Edit | None) -> None:
+    def build_copy(self, mechanism: Edit | None) -> None:
         """Make the copy without a mechanism and build it."""
-        target = self.copy(mechanism.rule if mechanism else ALL_ON)
-        copy_with(mechanism, target)
+        target = self.copy_directory(mechanism.rule if mechanism else ALL_ON)
+        copy_repository(mechanism, target)
         for command in (["git", "init", "-q"], ["git", "add", "-A"]):
             subprocess.run(command, cwd=target, check=True)  # noqa: S603
         subprocess.run(  # noqa: S603
@@ -188,7 +188,7 @@
         )
 
 
-def read_day(printed: str, day: str) -> tuple[float, str] | None:
+def parse_day(printed: str, day: str) -> tuple[float, str] | None:
     """Return a day's value and the rules it broke; ``None`` if the output lacks them."""
     match = re.search(rf"^{day} +\S+ +\S+ +(-?[\d.]+) (.*)$", printed, re.M)
     if match is None:
@@ -197,10 +197,10 @@
     return float(match[1]), " ".join(rules)
 
 
-def table(played: Iterable[Played]) -> str:
+def table(played: Iterable[DayResult]) -> str:
     """Return a table of differences to all enabled: mean, deviation, days, broken rules."""
-    value_of = {row.play: row.worth for row in played}
-    broken = {row.play: row.broken for row in played if row.broken}
+    value_of = {row.run: row.value for row in played}
+    broken = {row.run: row.broken_rules for row in played if row.broken_rules}
     names = dict.fromkeys(play.mechanism for play in value_of if play.mechanism != ALL_ON)
     sites = dict.fromkeys(play.site for play in value_of)
     lines = [
@@ -208,15 +208,15 @@
         "|---" * (len(sites) + 2) + "|",
     ]
     for name in names:
-        cells = [_cell(value_of, name, site) for site in sites]
+        cells = [_difference_cell(value_of, name, site) for site in sites]
         rules = {broken[play] for play in broken if play.mechanism == name}
         lines.append(f"| {name} | {' | '.join(cells)} | {' '.join(sorted(rules))} |")
-    means = [_mean(value_of, site) for site in sites]
+    means = [_mean_value(value_of, site) for site in sites]
     lines.append(f"| nothing (mean worth) | {' | '.join(means)} | |")
     return "\n".join(lines) + "\n"
 
 
-def _cell(value_of: dict[Play, float], name: str, site: Path) -> str:
+def _difference_cell(value_of: dict[DayRun, float], name: str, site: Path) -> str:
     differences = [
         value - value_of[play._replace(mechanism=ALL_ON)]
         for play, value in value_of.items()
@@ -226,7 +226,7 @@
     return f"{statistics.mean(differences):+.4f} ({spread:.4f}, {len(differences)})"
 
 
-def _mean(value_of: dict[Play, float], site: Path) -> str:
+def _mean_value(value_of: dict[DayRun, float], site: Path) -> str:
     values = [
         value
         for play, value in value_of.items()
@@ -235,9 +235,9 @@
     return f"{statistics.mean(values):.4f}"
 
 
-def _keep_journals(bench: Bench, mechanisms: Sequence[str]) -> None:
+def _copy_journals(bench: Bench, mechanisms: Sequence[str]) -> None:
     for name in mechanisms:
-        for entry in (bench.copy(name) / "journal").glob("*.json"):
+        for entry in (bench.copy_directory(name) / "journal").glob("*.json"):
             shutil.copy(entry, ROOT / "journal")
 
 
@@ -266,17 +266,17 @@
     bench = Bench(program.resolve(), work.resolve())
     chosen = [edit for edit in MECHANISMS if not only or edit.rule in only]
     for edit in (None, *chosen):
-        bench.build(edit)
+        bench.build_copy(edit)
     names = [ALL_ON, *(edit.rule for edit in chosen)]
     paths = [site.resolve() for site in sites]
-    plays = [Play(*row) for row in itertools.product(names, paths, days, seeds)]
+    plays = [DayRun(*row) for row in itertools.product(names, paths, days, seeds)]
     with ThreadPoolExecutor(jobs) as pool:
-        played = list(pool.map(bench.play, plays))
+        played = list(pool.map(bench.run_day, plays))
     results = table(played)
     click.echo(results)
     if keep:
         RESULTS.write_text(f"# Value of each mechanism\n\n{results}")
-        _keep_journals(bench, names)
+        _copy_journals(bench, names)
 
 
 if __name__ == "__main__":
--- a/benchmarks/baseline.py
+++ b/benchmarks/baseline.py
@@ -23,7 +23,7 @@
 
 from dockreach.standin_engine import serve  # noqa: E402
 
-LAG_S = 1.0
+LOAD_REPORT_LAG_S = 1.0
 """Interval at which the engines' load is polled, in seconds."""
 
 SERVICE_PREFIX = "/services/records"
@@ -37,7 +37,7 @@
         self._policy = policy
         self._engines = engines
         self._workers = itertools.cycle(workers or engines)
-        self._turns = itertools.cycle(engines)
+        self._round_robin = itertools.cycle(engines)
         self._loads = dict.fromkeys(engines, 0)
         self._rng = random.Random(1)  # noqa: S311
         self._pool = urllib3.PoolManager(retries=False, maxsize=500)
@@ -48,7 +48,7 @@
         """Serve one request."""
         path = environ["PATH_INFO"]
         body = environ["wsgi.input"].read()
-        target = self._choose()
+        target = self._select_engine()
         if path.startswith(SERVICE_PREFIX):
             target = next(self._workers)
             path = path[len(SERVICE_PREFIX) :]
@@ -69,15 +69,15 @@
         start(f"{response.status} Answer", [("Dockreach-Request-Id", rid)])
         return _Relay(self._pool, response, f"{target}/v1/runs/{rid}")
 
-    def _choose(self) -> str:
+    def _select_engine(self) -> str:
         if self._policy == "round-robin":
-            return next(self._turns)
+            return next(self._round_robin)
         lowest = min(self._loads.values())
         return self._rng.choice(
             [name for name, load in self._loads.items() if load == lowest]
         )
 
-    def read_loads(self) -> None:
+    def poll_loads(self) -> None:
         """Poll each engine's load at every interval, without end."""
         while True:
             for engine in self._engines:
@@ -86,7 +86,7 @@
                     self._loads[engine] = msgspec.json.decode(response.data)["running"]
                 except (urllib3.exceptions.HTTPError, OSError):
                     self._loads[engine] = 1_000_000
-            _green.sleep(LAG_S)
+            _green.sleep(LOAD_REPORT_LAG_S)
 
 
 class _Relay:
@@ -94,25 +94,25 @@
 
     def __init__(self, pool: urllib3.PoolManager, response: Any, cancel_url: str) -> None:  # noqa: ANN401
         self._pool = pool
-        self._answer = response
-        self._cancel = cancel_url
-        self._ended = False
+        self._response = response
+        self._cancel_url = cancel_url
+        self._is_complete = False
 
     def __iter__(self) -> Iterator[bytes]:
-        for chunk in self._answer.stream(65536):
+        for chunk in self._response.stream(65536):
             # Engines send event ids for the agent; callers don't expect them.
             lines = chunk.split(b"\n")
             yield b"\n".join(line for line in lines if not line.startswith(b"id: "))
-        self._ended = True
+        self._is_complete = True
 
     def __next__(self) -> bytes:
         raise StopIteration
 
     def close(self) -> None:
         """Called when the response has ended or the caller has disconnected."""
-        if not self._ended:
-            self._pool.request("DELETE", self._cancel)
-        self._answer.release_conn()
+        if not self._is_complete:
+            self._pool.request("DELETE", self._cancel_url)
+        self._response.release_conn()
 
 
 @click.command()
@@ -122,7 +122,7 @@
 def main(policy: str, engines: tuple[str, ...], workers: tuple[str, ...]) -> None:
     """Run one baseline on a free port."""
     balancer = Balancer(policy, list(engines), list(workers))
-    _green.spawn(balancer.read_loads)
+    _green.spawn(balancer.poll_loads)
     serve(balancer, 0)
 
 
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -39,11 +39,11 @@
 from dockreach.prefix import PrefixIndex  # noqa: E402
 
 RESULTS = Path("docs/results")
-IDLE_S = 8.0
+IDLE_MEASUREMENT_S = 8.0
 SETTLE_S = 5.0
 """Time for a new fleet to settle: on start, key owners ask their peers for claims."""
 
-REPEATS = 300
+CALLS_PER_MEAN = 300
 
 
 class Line(NamedTuple):
@@ -64,7 +64,7 @@
     fit: float
 
 
-def line(
+def fit_line(
     what: str, unit: str, variable: str, points: Sequence[tuple[float, float]]
 ) -> Line:
     """Fit a line to measured points by least squares."""
@@ -80,7 +80,7 @@
     return Line(what, unit, variable, list(points), base, slope, fit)
 
 
-def fleet(endpoints: int, entries: int = 1, organisations: int = 2) -> FleetSpec:
+def worker_fleet(endpoints: int, entries: int = 1, organisations: int = 2) -> FleetSpec:
     """Return a fleet of plain workers; only their agents and entries are measured."""
     return FleetSpec(
         endpoints=[
@@ -95,14 +95,14 @@
     )
 
 
-def declared(endpoints: int, organisations: int) -> Declarations:
+def worker_declarations(endpoints: int, organisations: int) -> Declarations:
     """Return the declarations of a fleet of plain workers."""
-    return parse(fleet(endpoints, 1, organisations).declarations(1))
+    return parse(worker_fleet(endpoints, 1, organisations).declarations(1))
 
 
-def entry_world(agents: int) -> EntryWorld:
+def new_entry_world(agents: int) -> EntryWorld:
     """Return the core of an entry that is linked to a number of agents."""
-    declarations = declared(agents, 2)
+    declarations = worker_declarations(agents, 2)
     world = EntryWorld("n0", 1, declarations, LimitTable("n0", started=-100.0))
     inbox: list[tuple[str, object]] = [("", Configured(declarations))]
     inbox += [(f"w{index}", AgentUp("hall1", 1)) for index in range(agents)]
@@ -110,7 +110,7 @@
     return world
 
 
-def request(number: int) -> Admit:
+def waiting_request(number: int) -> Admit:
     """Return a small request with a deadline so late that it keeps waiting."""
     return Admit(
         rid=f"r{number}",
@@ -129,30 +129,30 @@
     )
 
 
-def _micros(work: Callable[[int], None]) -> float:
+def _best_mean_us(work: Callable[[int], None]) -> float:
     """Return the lowest of three mean times of a call, in microseconds."""
     best = float("inf")
     for repetition in range(3):
         start = time.perf_counter()
-        for index in range(REPEATS):
-            work(repetition * REPEATS + index)
-        best = min(best, (time.perf_counter() - start) / REPEATS)
+        for index in range(CALLS_PER_MEAN):
+            work(repetition * CALLS_PER_MEAN + index)
+        best = min(best, (time.perf_counter() - start) / CALLS_PER_MEAN)
     return 1e6 * best
 
 
-def entry_tick(waiting: int) -> float:
+def entry_tick_us(waiting: int) -> float:
     """Return the time of a tick that admits one request while others wait."""
-    world = entry_world(8)
-    entry.tick(world, [("", request(index)) for index in range(waiting)], 0.1)
+    world = new_entry_world(8)
+    entry.tick(world, [("", waiting_request(index)) for index in range(waiting)], 0.1)
     base = 1_000_000
 
     def work(index: int) -> None:
-        entry.tick(world, [("", request(base + index))], 0.2)
+        entry.tick(world, [("", waiting_request(base + index))], 0.2)
 
-    return _micros(work)
+    return _best_mean_us(work)
 
 
-def agent_world(organisations: int, holds: int) -> AgentWorld:
+def new_agent_world(organisations: int, holds: int) -> AgentWorld:
     """Return the core of an agent that has holds queued and no capacity for them."""
     model = EngineModel(8, 4000.0, 0.02, 0.039)
     world = AgentWorld("w0", 1, model, PrefixIndex(1000), AgentPolicy(queue_limit=10**6))
@@ -169,9 +169,9 @@
     return Hold(f"r{number}", name, number % 3, 10**9, 100, 100, 1.0, (1, 2, 3))
 
 
-def agent_tick(organisations: int, holds: int) -> float:
+def agent_tick_us(organisations: int, holds: int) -> float:
     """Return the time to queue a hold, grant one, and withdraw the grant: two ticks."""
-    world = agent_world(organisations, holds)
+    world = new_agent_world(organisations, holds)
     base = 10_000_000
 
     def work(index: int) -> None:
@@ -182,10 +182,10 @@
         granted = [("n0", Withdraw(rid)) for rid in world.grants]
         agent.tick(world, granted, 0.2)
 
-    return _micros(work)
+    return _best_mean_us(work)
 
 
-def _bytes_each(make: Callable[[], object], count: int) -> float:
+def _bytes_per_item(make: Callable[[], object], count: int) -> float:
     tracemalloc.start()
     items = make()
     size, _ = tracemalloc.get_traced_memory()
@@ -205,23 +205,23 @@
             for index in range(count)
         }
 
-    return _bytes_each(make, count)
+    return _bytes_per_item(make, count)
 
 
 def waiting_bytes(count: int) -> float:
     """Return the memory of one waiting request at its entry, with a 500-byte body."""
 
     def make() -> object:
-        world = entry_world(8)
-        entry.tick(world, [("", request(index)) for index in range(count)], 0.1)
+        world = new_entry_world(8)
+        entry.tick(world, [("", waiting_request(index)) for index in range(count)], 0.1)
         return world
 
-    return _bytes_each(make, count)
+    return _bytes_per_item(make, count)
 
 
 def config_cost(endpoints: int, organisations: int) -> tuple[float, int, int]:
     """Return the validation time in ms, the bytes of all, and the bytes of one change."""
-    spec = fleet(endpoints, 1, organisations)
+    spec = worker_fleet(endpoints, 1, organisations)
     body = spec.declarations(1)
     start = time.perf_counter()
     parse(body)
@@ -244,7 +244,7 @@
     bytes_per_s: float
 
 
-def idle(deployment: Deployment, processes: Sequence[Process]) -> Cost:
+def measure_idle(deployment: Deployment, processes: Sequence[Process]) -> Cost:
     """Measure idle daemons for ``IDLE_MEASUREMENT_S`` and return their mean costs."""
     names = (
         "dockreach_cpu_seconds_total",
@@ -257,7 +257,7 @@
 
     _green.sleep(SETTLE_S)
     before = read()
-    _green.sleep(IDLE_S)
+    _green.sleep(IDLE_MEASUREMENT_S)
     after = read()
     used = [
         [new - old for new, old in zip(*pair, strict=True)]
@@ -268,29 +268,31 @@
     peers = sum(deployment.metric(row, "dockreach_peers") for row in processes)
     return Cost(
         peers / count,
-        sum(row[0] for row in used) / count / IDLE_S,
+        sum(row[0] for row in used) / count / IDLE_MEASUREMENT_S,
         resident / count / 1e6,
-        sum(row[1] + row[2] for row in used) / count / IDLE_S,
+        sum(row[1] + row[2] for row in used) / count / IDLE_MEASUREMENT_S,
     )
 
 
-def spread_s(deployment: Deployment) -> float:
+def propagation_s(deployment: Deployment) -> float:
     """Return the time from publishing a revision until every daemon has applied it."""
     deployment.revision += 1
     start = time.monotonic()
     deployment.publish()
     wanted = deployment.revision
     for process in [*deployment.entries.values(), *deployment.agents.values()]:
-        wait_until(lambda process=process: _in_force(process) >= wanted, f"{process.name}")
+        wait_until(
+            lambda process=process: _applied_revision(process) >= wanted, f"{process.name}"
+        )
     return time.monotonic() - start
 
 
-def _in_force(process: Process) -> int:
+def _applied_revision(process: Process) -> int:
     rows = [row for row in process.events() if row.get("event") == 300]
     return int(rows[-1]["revision"]) if rows else 0
 
 
-def core_lines() -> list[Line]:
+def measure_cores() -> list[Line]:
     """Measure the cores alone, without processes."""
     waits = (100, 1000, 10_000)
     holds = (100, 1000, 10_000)
@@ -299,36 +301,43 @@
     config = [config_cost(*size) for size in sizes]
     counts = [float(sum(size)) for size in sizes]
     return [
-        line(
-            "entry tick, one admitted", "us", "waiting requests", _sweep(entry_tick, waits)
+        fit_line(
+            "entry tick, one admitted",
+            "us",
+            "waiting requests",
+            _sweep(entry_tick_us, waits),
         ),
-        line(
+        fit_line(
             "agent tick, one granted",
             "us",
             "queued holds",
-            _sweep(lambda count: agent_tick(5, count), holds),
+            _sweep(lambda count: agent_tick_us(5, count), holds),
         ),
-        line(
+        fit_line(
             "agent tick, one granted",
             "us",
             "organisations",
-            _sweep(lambda count: agent_tick(count, 2000), orgs),
+            _sweep(lambda count: agent_tick_us(count, 2000), orgs),
+        ),
+        fit_line(
+            "claim at its owner", "bytes", "claims", _sweep(claims_bytes, (1000, 9000))
+        ),
+        fit_line(
+            "waiting request", "bytes", "requests", _sweep(waiting_bytes, (1000, 4000))
         ),
-        line("claim at its owner", "bytes", "claims", _sweep(claims_bytes, (1000, 9000))),
-        line("waiting request", "bytes", "requests", _sweep(waiting_bytes, (1000, 4000))),
-        line(
+        fit_line(
             "validating declarations",
             "ms",
             "sections",
             [(count, row[0]) for count, row in zip(counts, config, strict=True)],
         ),
-        line(
+        fit_line(
             "whole declarations",
             "bytes",
             "sections",
             [(count, float(row[1])) for count, row in zip(counts, config, strict=True)],
         ),
-        line(
+        fit_line(
             "one change, as sent",
             "bytes",
             "sections",
@@ -343,22 +352,22 @@
     return [(float(value), work(value)) for value in values]
 
 
-def process_lines(agents: Sequence[int], entries: Sequence[int]) -> list[Line]:
+def measure_processes(agents: Sequence[int], entries: Sequence[int]) -> list[Line]:
     """Measure idle daemons and the propagation of a revision, with real processes."""
     entry_costs, propagation = [], []
     for count in agents:
-        with Deployment(fleet(count, 2)) as deployment:
-            entry_costs.append(idle(deployment, list(deployment.entries.values())))
-            propagation.append((float(count + 2), spread_s(deployment)))
+        with Deployment(worker_fleet(count, 2)) as deployment:
+            entry_costs.append(measure_idle(deployment, list(deployment.entries.values())))
+            propagation.append((float(count + 2), propagation_s(deployment)))
         click.echo(
             f"{count} agents: {entry_costs[-1]}, propagation {propagation[-1][1]:.2f} s"
         )
     agent_costs = []
     for count in entries:
-        with Deployment(fleet(4, count)) as deployment:
-            agent_costs.append(idle(deployment, list(deployment.agents.values())))
+        with Deployment(worker_fleet(4, count)) as deployment:
+            agent_costs.append(measure_idle(deployment, list(deployment.agents.values())))
         click.echo(f"{count} entries: {agent_costs[-1]}")
-    lines = [line("revision in force everywhere", "s", "daemons", propagation)]
+    lines = [fit_line("revision in force everywhere", "s", "daemons", propagation)]
     for role, costs in (("entry", entry_costs), ("agent", agent_costs)):
         for name, unit in (
             ("cores", "cores"),
@@ -366,7 +375,7 @@
             ("bytes_per_s", "B/s"),
         ):
             points = [(cost.peers, float(getattr(cost, name))) for cost in costs]
-            lines.append(line(f"idle {role}", unit, "peers", points))
+            lines.append(fit_line(f"idle {role}", unit, "peers", points))
     return lines
 
 
@@ -409,9 +418,9 @@
 @click.option("--core-only", is_flag=True, help="Leave out the sweeps over processes.")
 def main(keep: bool, core_only: bool) -> None:
     """Measure all costs and print the fitted lines."""
-    lines = core_lines()
+    lines = measure_cores()
     if not core_only:
-        lines += process_lines((8, 24, 48), (2, 6, 12))
+        lines += measure_processes((8, 24, 48), (2, 6, 12))
     click.echo(table(lines))
     if keep:
         RESULTS.mkdir(parents=True, exist_ok=True)
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -15,16 +15,16 @@
 import click  # noqa: E402
 
 from benchmarks.systems import SYSTEMS, Target, running  # noqa: E402
-from dockreach.load import Load, Outcome, percentile  # noqa: E402
+from dockreach.load import LoadGenerator, Outcome, percentile  # noqa: E402
 from dockreach.profiles import PROFILES, Profile  # noqa: E402
 
 RESULTS = Path("docs/results")
 SCENARIOS = ("calm", "burst", "slow-down", "kill")
-CALM_PART = 0.6
-BURST = 3.0
+CALM_LOAD_FRACTION = 0.6
+BURST_LOAD_FACTOR = 3.0
 """Load of a burst, as a multiple of the engines' capacity."""
 
-SLOW = 10.0
+SLOWDOWN_FACTOR = 10.0
 
 
 @dataclass(slots=True)
@@ -47,7 +47,7 @@
     errors: dict[str, int]
 
 
-def capacity(profile: Profile) -> float:
+def capacity_requests_per_s(profile: Profile) -> float:
     """Return the capacity of the engines in requests/s, by declared speeds."""
     kinds = [kind for kind in profile.kinds if not kind.service]
     weight = sum(kind.weight for kind in kinds)
@@ -64,7 +64,7 @@
     return total * sum(kind.weight for kind in profile.kinds) / weight
 
 
-def disturb(scenario: str, target: Target, after_s: float) -> None:
+def inject_fault(scenario: str, target: Target, after_s: float) -> None:
     """Slow down or kill a sixth of the engines during a run."""
     _green.sleep(after_s)
     engines = [
@@ -73,25 +73,25 @@
     affected = engines[: max(1, len(engines) // 6)]
     for name in affected:
         if scenario == "slow-down":
-            target.deployment.control(name, slow=SLOW)
+            target.deployment.control_engine(name, slow=SLOWDOWN_FACTOR)
         elif scenario == "kill":
             target.deployment.engines[name].kill()
 
 
 def measure(scenario: str, system: str, profile: Profile, seconds: float, seed: int) -> Row:
     """Run one scenario on one system and return the results."""
-    full_rate = capacity(profile)
-    rate = full_rate * (BURST if scenario == "burst" else CALM_PART)
+    full_rate = capacity_requests_per_s(profile)
+    rate = full_rate * (BURST_LOAD_FACTOR if scenario == "burst" else CALM_LOAD_FRACTION)
     with running(system, profile.fleet) as target:
-        load = Load(target.urls, profile.kinds, seed=seed)
+        load = LoadGenerator(target.urls, profile.kinds, seed=seed)
         if scenario in ("slow-down", "kill"):
-            _green.spawn(disturb, scenario, target, seconds / 3)
+            _green.spawn(inject_fault, scenario, target, seconds / 3)
         outcomes = load.run([(seconds, rate)])
-        logs = target.deployment.run_log()
-    return _row(scenario, system, outcomes, logs, full_rate)
+        logs = target.deployment.run_logs()
+    return _summarize(scenario, system, outcomes, logs, full_rate)
 
 
-def _row(
+def _summarize(
     scenario: str,
     system: str,
     outcomes: Sequence[Outcome],
@@ -102,11 +102,11 @@
     tiers = sorted({row.tier for row in outcomes})
     sent = {tier: sum(row.tier == tier for row in outcomes) for tier in tiers}
     in_time_by_tier = {
-        tier: sum(row.tier == tier and row.in_time for row in outcomes) for tier in tiers
+        tier: sum(row.tier == tier and row.is_in_time for row in outcomes) for tier in tiers
     }
-    ends = [row.sent_at + row.total_s for row in outcomes if row.in_time]
+    ends = [row.sent_at + row.total_s for row in outcomes if row.is_in_time]
     max_served *= max(ends, default=1.0)
-    in_time = {row.rid for row in outcomes if row.in_time}
+    in_time = {row.rid for row in outcomes if row.is_in_time}
     wasted = total = second = 0
     ran: dict[str, int] = {}
     for log in logs.values():
@@ -127,8 +127,8 @@
     ]
     errors: dict[str, int] = {}
     for row in outcomes:
-        if not row.in_time:
-            name = row.code or ("late" if row.whole else "broken")
+        if not row.is_in_time:
+            name = row.code or ("late" if row.is_complete else "broken")
             errors[f"{row.tier}/{name}"] = errors.get(f"{row.tier}/{name}", 0) + 1
     return Row(
         scenario=scenario,
@@ -143,12 +143,12 @@
         p95_first_top_s=percentile(top, 0.95),
         wrong_verdicts=wrong,
         second_runs=second,
-        inversions=_inversions(outcomes),
+        inversions=_count_inversions(outcomes),
         errors=errors,
     )
 
 
-def _inversions(outcomes: Sequence[Outcome]) -> int:
+def _count_inversions(outcomes: Sequence[Outcome]) -> int:
     """Count requests that were shed although a later one of a lower tier was served.
 
     Only refusals because of load count, and only if the request of the lower tier was
@@ -162,13 +162,13 @@
         count += any(
             order[other.tier] > order[row.tier]
             and row.sent_at < other.sent_at < row.sent_at + row.total_s
-            and other.whole
+            and other.is_complete
             for other in outcomes
         )
     return count
 
 
-def write(rows: Sequence[Row], profile: str, seconds: float) -> None:
+def write_results(rows: Sequence[Row], profile: str, seconds: float) -> None:
     """Write the results as JSON, a table and a plot."""
     RESULTS.mkdir(parents=True, exist_ok=True)
     raw = json.dumps([asdict(row) for row in rows], indent=1)
@@ -264,7 +264,7 @@
             click.echo(f"{scenario} {system}: {row.in_time} of {row.sent} {row.errors}")
     click.echo(table(rows, profile, seconds))
     if keep:
-        write(rows, profile, seconds)
+        write_results(rows, profile, seconds)
 
 
 if __name__ == "__main__":
--- a/benchmarks/digests.py
+++ b/benchmarks/digests.py
@@ -22,14 +22,14 @@
 
 RESULTS = Path("docs/results/digests.md")
 REPEATS = 2000
-SIZES = (5, 29, 100, 380)
-ENDPOINTS = 40
+ENTRY_COUNTS = (5, 29, 100, 380)
+ENDPOINTS_IN_USE = 40
 """Endpoints with requests of one entry, at 29 requests per second of a few seconds each."""
 
-ORGANISATIONS = 30
+RECENT_ORGANISATIONS = 30
 """Organisations that recently used tokens at one entry, of the 320 to be supported."""
 
-OWN = Address("10.0.0.1", 7600)
+OWN_ADDRESS = Address("10.0.0.1", 7600)
 
 
 class Row(NamedTuple):
@@ -38,14 +38,14 @@
     entries: int
     digest_bytes: int
     encode_us: float
-    take_us: float
+    merge_us: float
     admit_us: float
 
 
 def measure(entries: int) -> Row:
     """Measure the costs for one number of entries."""
-    peers = PeerTable(OWN, ())
-    endpoints = _endpoints()
+    peers = PeerTable(OWN_ADDRESS, ())
+    endpoints = _new_endpoint_table()
     for number in range(entries - 1):
         peers.merge(_digest(number, 1), 1000.0)
     quotas = QuotaTable(peers, QuotaTolerance(), started_at=0.0, has_predecessor=False)
@@ -64,13 +64,13 @@
     return Row(
         entries,
         len(data),
-        _time_us(lambda: encode(sample)),
-        _time_us(merge),
-        _time_us(lambda: quotas.admit(organisation, 1, 1000.0)),
+        _mean_us(lambda: encode(sample)),
+        _mean_us(merge),
+        _mean_us(lambda: quotas.admit(organisation, 1, 1000.0)),
     )
 
 
-def _endpoints() -> EndpointTable:
+def _new_endpoint_table() -> EndpointTable:
     table = EndpointTable()
     for number in range(1200):
         table.publish(Published(f"i-{number:010x}", "s", "10.1.0.1:80", "h", 8, False))
@@ -90,14 +90,14 @@
         leaving=False,
         revision=1,
         endpoints_revision=1,
-        in_flight={f"i-{number * 3 + i:010x}": 2 for i in range(ENDPOINTS)},
-        used={f"organisation-{i}": [300] * 17 for i in range(ORGANISATIONS)},
-        fleet_used={f"organisation-{i}": 4000 for i in range(ORGANISATIONS)},
-        known_peers=[OWN] * 8,
+        in_flight={f"i-{number * 3 + i:010x}": 2 for i in range(ENDPOINTS_IN_USE)},
+        used={f"organisation-{i}": [300] * 17 for i in range(RECENT_ORGANISATIONS)},
+        fleet_used={f"organisation-{i}": 4000 for i in range(RECENT_ORGANISATIONS)},
+        known_peers=[OWN_ADDRESS] * 8,
     )
 
 
-def _time_us(work: Callable[[], object]) -> float:
+def _mean_us(work: Callable[[], object]) -> float:
     started_at = time.process_time()
     for _ in range(REPEATS):
         work()
@@ -112,11 +112,11 @@
         "| entries | bytes of a digest | us to encode | us to merge | us to admit |",
         "|---|---|---|---|---|",
     ]
-    for size in SIZES:
+    for size in ENTRY_COUNTS:
         row = measure(size)
         lines.append(
             f"| {row.entries} | {row.digest_bytes} | {row.encode_us:.0f} "
-            f"| {row.take_us:.0f} | {row.admit_us:.0f} |"
+            f"| {row.merge_us:.0f} | {row.admit_us:.0f} |"
         )
     text = "\n".join(lines)
     click.echo(text)
--- a/benchmarks/edited_copy.py
+++ b/benchmarks/edited_copy.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 ROOT = Path(__file__).parent.parent
-SKIPPED = (
+IGNORED_PATTERNS = (
     ".venv",
     ".git",
     ".mypy_cache",
@@ -36,13 +36,13 @@
     """The module doesn't contain the text that an edit replaces."""
 
 
-def copy_with(edit: Edit | None, target: Path) -> None:
+def copy_repository(edit: Edit | None, target: Path) -> None:
     """Copy the repository and apply one edit, if given.
 
     Raises:
         EditError: The module doesn't contain the text to be replaced.
     """
-    shutil.copytree(ROOT, target, ignore=shutil.ignore_patterns(*SKIPPED))
+    shutil.copytree(ROOT, target, ignore=shutil.ignore_patterns(*IGNORED_PATTERNS))
     if edit is None:
         return
     module = target / "dockreach" / edit.module
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -22,46 +22,49 @@
 LENGTH_S = 60.0
 WINDOW_S = 4.0
 STEP_S = 0.02
-PRESSURE = 6.0
+LOAD_FACTOR = 6.0
 """Requests that callers send for each one that the endpoint accepts."""
 
-OVER = 1.5
-SLACK = 5.0
-ALL_SLOTS = 1000
+ALLOWED_FACTOR = 1.5
+ALLOWED_SLACK = 5.0
+ENDPOINT_SLOTS = 1000
 
 
-class Way(enum.StrEnum):
+class LimitPolicy(enum.StrEnum):
     """How the entries keep a rate limit."""
 
-    ALONE = "each entry keeps to it by itself"
-    PARTS = "each entry takes its part"
+    PER_ENTRY = "each entry keeps to it by itself"
+    EQUAL_SHARES = "each entry takes its part"
     COORDINATOR = "one entry gives out all places"
 
 
-class Result(NamedTuple):
+class LimitResult(NamedTuple):
     """The requests that an endpoint received.
 
     Attributes:
-        per_s: Mean requests per second.
-        worst: Most requests in any window, as a fraction of what the rule allows.
+        requests_per_s: Mean requests per second.
+        worst_window: Most requests in any window, as a fraction of what the rule allows.
     """
 
-    per_s: float
-    worst: float
+    requests_per_s: float
+    worst_window: float
 
 
-class _Entry:
-    def __init__(self, number: int, entries: int, policy: Way) -> None:
+class _SimulatedEntry:
+    def __init__(self, number: int, entries: int, policy: LimitPolicy) -> None:
         peers = PeerTable(_address(number), ())
-        if policy is Way.PARTS:
+        if policy is LimitPolicy.EQUAL_SHARES:
             peers.seeds = tuple(_address(other) for other in range(entries))
         coordinators = CoordinatorSelector(
-            peers, capacity=1.0, started_at=-100.0, is_independent=policy is Way.PARTS
+            peers,
+            capacity=1.0,
+            started_at=-100.0,
+            is_independent=policy is LimitPolicy.EQUAL_SHARES,
         )
         self.table = EndpointTable()
-        entry = Published("e", "work", "10.1.0.1:80", "hall", ALL_SLOTS, leaving=False)
+        entry = Published("e", "work", "10.1.0.1:80", "hall", ENDPOINT_SLOTS, leaving=False)
         self.table.publish(entry, 0.0)
-        self.guard = SendGuard(coordinators, self.table, rng=random.Random(number))
+        self.send_guard = SendGuard(coordinators, self.table, rng=random.Random(number))
 
     @property
     def row(self) -> EndpointRow:
@@ -74,26 +77,28 @@
     return Address(f"10.0.{number // 250}.{number % 250 + 1}", 7600)
 
 
-def play(policy: Way, entries: int, rate: float, seed: int) -> Result:
+def simulate(policy: LimitPolicy, entries: int, rate: float, seed: int) -> LimitResult:
     """Simulate one policy; all entries know the limit from the start."""
     rng = random.Random(seed)
     shares = [1 / (number + 1) for number in range(entries)]
-    cores = [_Entry(number, entries, policy) for number in range(entries)]
+    cores = [_SimulatedEntry(number, entries, policy) for number in range(entries)]
     for core in cores:
         core.row.advertised.limit.apply(LimitReport(rate, -0.1, 0.0))
     times = []
     for step in range(round(LENGTH_S / STEP_S)):
         now = step * STEP_S
-        if rng.random() > PRESSURE * rate * STEP_S:
+        if rng.random() > LOAD_FACTOR * rate * STEP_S:
             continue
         (core,) = rng.choices(cores, shares)
-        if policy is Way.COORDINATOR:
+        if policy is LimitPolicy.COORDINATOR:
             core = cores[0]
-        if core.guard.send_block(core.row, now) is None:
-            core.guard.record_send(core.row, now)
+        if core.send_guard.send_block(core.row, now) is None:
+            core.send_guard.record_send(core.row, now)
             times.append(now)
     worst = max(sum(at <= when < at + WINDOW_S for when in times) for at in times)
-    return Result(len(times) / LENGTH_S, worst / (OVER * rate * WINDOW_S + SLACK))
+    return LimitResult(
+        len(times) / LENGTH_S, worst / (ALLOWED_FACTOR * rate * WINDOW_S + ALLOWED_SLACK)
+    )
 
 
 @click.command()
@@ -103,11 +108,11 @@
     click.echo(
         "| policy | entries | limit/s | received/s | worst window |\n|---|---|---|---|---|"
     )
-    for policy in Way:
+    for policy in LimitPolicy:
         for entries, rate in ((5, 1.0), (28, 1.0), (5, 6.0), (28, 6.0)):
-            results = [play(policy, entries, rate, seed) for seed in range(seeds)]
-            received = sum(result.per_s for result in results) / seeds
-            worst = max(result.worst for result in results)
+            results = [simulate(policy, entries, rate, seed) for seed in range(seeds)]
+            received = sum(result.requests_per_s for result in results) / seeds
+            worst = max(result.worst_window for result in results)
             click.echo(
                 f"| {policy} | {entries} | {rate:.0f} | {received:.2f} | {worst:.2f} |"
             )
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -10,9 +10,9 @@
 
 import click
 
-from .edited_copy import Edit, copy_with
+from .edited_copy import Edit, copy_repository
 
-IGNORED = ("test_failures.py", "test_ablation.py")
+IGNORED_TEST_FILES = ("test_failures.py", "test_ablation.py")
 """Tests that take minutes, and those that only compare the edits with the code."""
 
 MUTANTS = (
@@ -494,7 +494,7 @@
 )
 
 
-def tried(mutant: Edit) -> list[str]:
+def failing_tests(mutant: Edit) -> list[str]:
     """Return the ids of the tests that fail with a mutant.
 
     Raises:
@@ -502,9 +502,9 @@
     """
     with tempfile.TemporaryDirectory() as directory:
         copy = Path(directory) / "copy"
-        copy_with(mutant, copy)
+        copy_repository(mutant, copy)
         options = ["-q", "-p", "no:cacheprovider"]
-        options += [f"--ignore=tests/{name}" for name in IGNORED]
+        options += [f"--ignore=tests/{name}" for name in IGNORED_TEST_FILES]
         process = subprocess.run(  # noqa: S603
             [sys.executable, "-m", "pytest", *options, "tests"],
             cwd=copy,
@@ -522,7 +522,7 @@
     """Test every mutant; exit with 1 if the tests miss one."""
     missed = 0
     for mutant in MUTANTS:
-        tests = tried(mutant)
+        tests = failing_tests(mutant)
         missed += not tests
         first_failure = tests[0] if tests else "NOT DETECTED"
         click.echo(f"{mutant.rule}: {first_failure} ({len(tests)})")
--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -22,11 +22,11 @@
     FleetSpec,
     OrganisationSpec,
 )
-from dockreach.load import Kind, Load, Outcome, percentile  # noqa: E402
+from dockreach.load import LoadGenerator, Outcome, RequestKind, percentile  # noqa: E402
 
 RESULTS = Path("docs/results")
 ENGINES = 6
-SECONDS = 10.0
+LOAD_S = 10.0
 
 
 class Figures(NamedTuple):
@@ -64,39 +64,39 @@
 
 def measure(deployment: Deployment, rate: float, tokens: int) -> Figures:
     """Send one load directly and through the entry."""
-    kind = Kind("k", 1.0, "org", "bulletin", 100, tokens, deadline_s=60.0)
-    engines = [f"http://127.0.0.1:{row.http}" for row in deployment.engines.values()]
-    direct = Load(engines, [kind]).run([(SECONDS, rate)])
-    before = _cpu(deployment)
-    entries = [f"http://127.0.0.1:{row.http}" for row in deployment.entries.values()]
-    through = Load(entries, [kind]).run([(SECONDS, rate)])
-    after = _cpu(deployment)
-    tokens_received = sum(row.whole for row in through) * tokens
+    kind = RequestKind("k", 1.0, "org", "bulletin", 100, tokens, deadline_s=60.0)
+    engines = [f"http://127.0.0.1:{row.http_port}" for row in deployment.engines.values()]
+    direct = LoadGenerator(engines, [kind]).run([(LOAD_S, rate)])
+    before = _cpu_seconds(deployment)
+    entries = [f"http://127.0.0.1:{row.http_port}" for row in deployment.entries.values()]
+    through = LoadGenerator(entries, [kind]).run([(LOAD_S, rate)])
+    after = _cpu_seconds(deployment)
+    tokens_received = sum(row.is_complete for row in through) * tokens
     span_s = max(row.sent_at + row.total_s for row in through)
     entry_s = after["entry"] - before["entry"]
     agents_s = after["agent"] - before["agent"]
     return Figures(
         requests_per_s=len(through) / span_s,
         tokens_per_s=tokens_received / span_s,
-        direct_p50_ms=_first(direct, 0.5),
-        direct_p95_ms=_first(direct, 0.95),
-        through_p50_ms=_first(through, 0.5),
-        through_p95_ms=_first(through, 0.95),
+        direct_p50_ms=_first_token_ms(direct, 0.5),
+        direct_p95_ms=_first_token_ms(direct, 0.95),
+        through_p50_ms=_first_token_ms(through, 0.5),
+        through_p95_ms=_first_token_ms(through, 0.95),
         entry_cores=entry_s / span_s,
         agents_cores=agents_s / span_s,
         entry_us_per_token=1e6 * entry_s / max(1, tokens_received),
         agent_us_per_token=1e6 * agents_s / max(1, tokens_received),
-        whole=sum(row.whole for row in through),
+        whole=sum(row.is_complete for row in through),
         sent=len(through),
     )
 
 
-def _first(rows: list[Outcome], fraction: float) -> float:
+def _first_token_ms(rows: list[Outcome], fraction: float) -> float:
     values = [row.first_token_s for row in rows if row.first_token_s is not None]
     return round(1000 * percentile(values, fraction), 1)
 
 
-def _cpu(deployment: Deployment) -> dict[str, float]:
+def _cpu_seconds(deployment: Deployment) -> dict[str, float]:
     name = "dockreach_cpu_seconds_total"
     return {
         "entry": sum(deployment.metric(row, name) for row in deployment.entries.values()),
--- a/benchmarks/replays/__main__.py
+++ b/benchmarks/replays/__main__.py
@@ -7,15 +7,15 @@
 
 import click
 
-from .fleet import Replay, Totals
-from .patterns import KINDS, PATTERNS, Pattern
+from .fleet import Replay, ReplayTotals
+from .patterns import KINDS, PATTERNS, LoadPattern
 
-SIZES = (1, 4, 16, 68)
+ENTRY_COUNTS = (1, 4, 16, 68)
 
 
-def _play(
-    pattern: Pattern, entries: int, seeds: range, *, is_coordinated: bool, engines: int
-) -> tuple[list[Totals], float]:
+def _run_replays(
+    pattern: LoadPattern, entries: int, seeds: range, *, is_coordinated: bool, engines: int
+) -> tuple[list[ReplayTotals], float]:
     started_at = time.process_time()
     totals = []
     for seed in seeds:
@@ -26,18 +26,20 @@
             seed=seed,
             is_coordinated=is_coordinated,
         )
-        totals.append(replay.play())
+        totals.append(replay.run())
     return totals, time.process_time() - started_at
 
 
-def _line(pattern: Pattern, entries: int, mode: str, replays: list[Totals]) -> str:
-    values = [totals.worth for totals in replays]
+def _table_row(
+    pattern: LoadPattern, entries: int, mode: str, replays: list[ReplayTotals]
+) -> str:
+    values = [totals.value_fraction for totals in replays]
     in_time = " ".join(
-        f"{mean(totals.part_in_time(kind) for totals in replays):.3f}" for kind in KINDS
+        f"{mean(totals.fraction_in_time(kind) for totals in replays):.3f}" for kind in KINDS
     )
     spread = stdev(values) if len(values) > 1 else 0.0
     refusals = sum(totals.refusals for totals in replays)
-    free_slots = sum(totals.free_at_refusal for totals in replays) / max(refusals, 1)
+    free_slots = sum(totals.free_slots_at_refusals for totals in replays) / max(refusals, 1)
     messages_per_s = (
         mean(totals.messages for totals in replays) / entries / pattern.length_s
     )
@@ -54,7 +56,7 @@
 @click.command()
 @click.option("--seeds", default=3, help="Replays for each row.")
 @click.option("--engines", default=39, help="Engines at the start.")
-@click.option("--entries", multiple=True, type=int, default=SIZES)
+@click.option("--entries", multiple=True, type=int, default=ENTRY_COUNTS)
 @click.option("--only", default="", help="Part of a pattern's name.")
 def main(*, seeds: int, engines: int, entries: tuple[int, ...], only: str) -> None:
     """Print a table that compares independent entries with one that grants all slots."""
@@ -69,14 +71,14 @@
         for count in entries:
             for is_coordinated in (False, True) if count > 1 else (False,):
                 mode = "coordinated" if is_coordinated else "independent"
-                replays, _ = _play(
+                replays, _ = _run_replays(
                     pattern,
                     count,
                     range(1, seeds + 1),
                     is_coordinated=is_coordinated,
                     engines=engines,
                 )
-                click.echo(_line(pattern, count, mode, replays))
+                click.echo(_table_row(pattern, count, mode, replays))
 
 
 if __name__ == "__main__":
--- a/benchmarks/replays/engine.py
+++ b/benchmarks/replays/engine.py
@@ -7,13 +7,13 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-FIRST_S = 0.064
-READ_S = 1 / 32_400
+FIRST_EVENT_S = 0.064
+PREFILL_PER_TOKEN_S = 1 / 32_400
 GAP_S = 0.0188
 """Time to the first event without prefill, prefill time of a token, and time between
 events, in seconds, of an engine with time factor 1: the customers' drafting engines."""
 
-CROWD = 0.004
+LOAD_SLOWDOWN = 0.004
 """Relative increase of the time between events for each request in a slot."""
 
 
@@ -37,67 +37,73 @@
     """Runs as many requests as it has slots; others wait in its queue.
 
     Attributes:
-        speed: Factor on all times; a higher one is slower.
+        time_factor: Factor on all times; a higher one is slower.
         call_at: Schedules a function call at a given time.
-        beyond: Highest number of requests that waited in the queue.
+        max_queued: Highest number of requests that waited in the queue.
     """
 
     id: str
     slots: int
-    speed: float
+    time_factor: float
     call_at: Callable[[float, Callable[[float], None]], None]
     running: list[Run] = field(default_factory=list)
     queue: deque[Run] = field(default_factory=deque)
-    is_gone: bool = False
-    beyond: int = 0
-    _reads_until: float = 0.0
+    is_stopped: bool = False
+    max_queued: int = 0
+    _prefill_until: float = 0.0
 
-    def take(self, run: Run, now: float) -> None:
+    def submit(self, run: Run, now: float) -> None:
         """Accept a request."""
-        if self.is_gone:
+        if self.is_stopped:
             run.on_end(now, False)
             return
         self.queue.append(run)
-        self._start(now)
-        self.beyond = max(self.beyond, len(self.queue))
+        self._start_runs(now)
+        self.max_queued = max(self.max_queued, len(self.queue))
 
-    def drop(self, run: Run, now: float) -> None:
+    def cancel(self, run: Run, now: float) -> None:
         """Cancel a request whose caller has disconnected."""
         if run in self.running:
             self.running.remove(run)
         elif run in self.queue:
             self.queue.remove(run)
-        self._start(now)
+        self._start_runs(now)
 
-    def go(self, now: float) -> None:
+    def stop(self, now: float) -> None:
         """Cut off all requests, and from now on every new one."""
-        self.is_gone = True
+        self.is_stopped = True
         for run in [*self.running, *self.queue]:
             run.on_end(now, False)
         self.running.clear()
         self.queue.clear()
 
-    def _start(self, now: float) -> None:
+    def _start_runs(self, now: float) -> None:
         while self.queue and len(self.running) < self.slots:
             run = self.queue.popleft()
             self.running.append(run)
-            prefill_end = max(self._reads_until, now) + run.tokens * READ_S * self.speed
-            self._reads_until = prefill_end
-            self.call_at(prefill_end + FIRST_S * self.speed, partial(self._first, run))
-
-    def _first(self, run: Run, now: float) -> None:
+            prefill_end = (
+                max(self._prefill_until, now)
+                + run.tokens * PREFILL_PER_TOKEN_S * self.time_factor
+            )
+            self._prefill_until = prefill_end
+            self.call_at(
+                prefill_end + FIRST_EVENT_S * self.time_factor,
+                partial(self._send_first_event, run),
+            )
+
+    def _send_first_event(self, run: Run, now: float) -> None:
         if run not in self.running:
             return
         run.on_first(now)
         gap_s = self.gap_s()
-        self.call_at(now + run.events * gap_s, partial(self._end, run))
+        self.call_at(now + run.events * gap_s, partial(self._finish, run))
 
     def gap_s(self) -> float:
         """Return the present time between events, in seconds."""
-        return GAP_S * self.speed * (1 + CROWD * len(self.running))
+        return GAP_S * self.time_factor * (1 + LOAD_SLOWDOWN * len(self.running))
 
-    def _end(self, run: Run, now: float) -> None:
+    def _finish(self, run: Run, now: float) -> None:
         if run in self.running:
             self.running.remove(run)
             run.on_end(now, True)
-            self._start(now)
+            self._start_runs(now)
--- a/benchmarks/replays/fleet.py
+++ b/benchmarks/replays/fleet.py
@@ -24,81 +24,81 @@
 from dockreach.direct.slot_server import SlotServer
 
 from .engine import Engine, Run
-from .patterns import KINDS, SERVICE, Kind, Pattern
+from .patterns import KINDS, SERVICE, LoadPattern, RequestKind
 
-SLOTS = 6
-DELAY_S = (0.0004, 0.0012)
+SLOTS_PER_ENGINE = 6
+MESSAGE_DELAY_S = (0.0004, 0.0012)
 ENDPOINT_DELAY_S = 0.0005
 IDLE_DIGEST_S = 0.25
-ROUND_S = 0.1
-START_S = 100.0
+ROUND_INTERVAL_S = 0.1
+INITIAL_AGE_S = 100.0
 """Age of all entries at the start of a replay, in seconds."""
 
 
-class Clock:
+class SimulatedClock:
     """Simulated clock that makes scheduled calls in the order of their times."""
 
     def __init__(self) -> None:
-        self._due: list[tuple[float, int, Callable[[float], None]]] = []
-        self._order = itertools.count()
-        self.now = START_S
+        self._pending_calls: list[tuple[float, int, Callable[[float], None]]] = []
+        self._sequence = itertools.count()
+        self.now = INITIAL_AGE_S
 
     def call_at(self, time_s: float, call: Callable[[float], None]) -> None:
         """Schedule a call of a function at a given time."""
-        heapq.heappush(self._due, (time_s, next(self._order), call))
+        heapq.heappush(self._pending_calls, (time_s, next(self._sequence), call))
 
     def run_until(self, end: float) -> None:
         """Make all calls that are due up to a given time."""
-        while self._due and self._due[0][0] <= end:
-            self.now, _, call = heapq.heappop(self._due)
+        while self._pending_calls and self._pending_calls[0][0] <= end:
+            self.now, _, call = heapq.heappop(self._pending_calls)
             call(self.now)
 
 
 @dataclass(slots=True)
-class Totals:
+class ReplayTotals:
     """Counts of requests by their outcome, and of messages between entries.
 
     Attributes:
-        free_at_refusal: Slots that were free at each refusal, summed up.
+        free_slots_at_refusals: Slots that were free at each refusal, summed up.
     """
 
-    asked: Counter[str] = field(default_factory=Counter)
+    sent: Counter[str] = field(default_factory=Counter)
     in_time: Counter[str] = field(default_factory=Counter)
     late: Counter[str] = field(default_factory=Counter)
     refused: Counter[str] = field(default_factory=Counter)
     cut: Counter[str] = field(default_factory=Counter)
-    free_at_refusal: int = 0
+    free_slots_at_refusals: int = 0
     refusals: int = 0
     messages: int = 0
     bytes: int = 0
 
     @property
-    def worth(self) -> float:
+    def value_fraction(self) -> float:
         """Value of the responses as a fraction of the highest; retries add nothing."""
-        possible = sum(kind.worth * self.asked[kind.name] for kind in KINDS)
+        possible = sum(kind.value * self.sent[kind.name] for kind in KINDS)
         earned = sum(
-            kind.worth * self.in_time[kind.name] + kind.late_worth * self.late[kind.name]
+            kind.value * self.in_time[kind.name] + kind.late_value * self.late[kind.name]
             for kind in KINDS
         )
         return earned / possible if possible else 1.0
 
-    def part_in_time(self, kind: Kind) -> float:
+    def fraction_in_time(self, kind: RequestKind) -> float:
         """Return the fraction of a kind's requests that were answered in time."""
-        return self.in_time[kind.name] / max(self.asked[kind.name], 1)
+        return self.in_time[kind.name] / max(self.sent[kind.name], 1)
 
 
 @dataclass(slots=True)
 class Request:
     """One caller's request, over all its attempts."""
 
-    kind: Kind
+    kind: RequestKind
     tokens: int
     events: int
-    tried_at: float
-    may_return: bool = True
+    first_attempt_at: float
+    may_retry: bool = True
 
 
-class EntryCores:
+class SimulatedEntry:
     """The decision logic of one entry, whose messages are delivered by the replay."""
 
     def __init__(self, replay: Replay, number: int) -> None:
@@ -117,20 +117,20 @@
             started_at=0.0,
             is_independent=not replay.is_coordinated,
         )
-        self.asker = SlotClient(self.address, number, coordinators, self.endpoints)
-        self.granter = SlotServer(
+        self.slot_client = SlotClient(self.address, number, coordinators, self.endpoints)
+        self.slot_server = SlotServer(
             self.address, self.dispatcher, self.endpoints, replay.routes.get
         )
-        self._number = itertools.count(1)
+        self._digest_numbers = itertools.count(1)
         self._last_digest = 0.0
-        self._has_news = True
+        self._has_updates = True
         self._runs: dict[int, tuple[Request, Run]] = {}
         self._waiting: dict[int, Request] = {}
 
     def submit(self, req: Request, now: float) -> None:
         """Accept a caller's request."""
         route = self.replay.routes[req.kind.name]
-        deadline = req.tried_at + req.kind.deadline_s
+        deadline = req.first_attempt_at + req.kind.deadline_s
         job = Job(
             rid="",
             route=route,
@@ -142,46 +142,48 @@
             arrived_at=now,
             queue_deadline=now + queue_timeout_s(route, deadline - now),
             deadline=deadline,
-            estimated_first_attempt_at=req.tried_at,
+            estimated_first_attempt_at=req.first_attempt_at,
         )
         self._waiting[id(job)] = req
-        self.replay.clock.call_at(job.queue_deadline, self.pump)
-        if not self.asker.request_slot(job, now):
+        self.replay.clock.call_at(job.queue_deadline, self.run_round)
+        if not self.slot_client.request_slot(job, now):
             self.dispatcher.submit(job)
-        self.pump(now)
+        self.run_round(now)
 
-    def pump(self, now: float) -> None:
+    def run_round(self, now: float) -> None:
         """Run a scheduling round, and send the messages that are due."""
-        for job in self.asker.fall_back(now):
+        for job in self.slot_client.fall_back(now):
             self.dispatcher.submit(job)
         for decision in self.dispatcher.run_round(now):
-            if self.granter.record_decision(decision):
+            if self.slot_server.record_decision(decision):
                 continue
             if isinstance(decision, Placed):
-                self.asker.record_slot(decision.job)
-            self._act_on(decision, now)
-        for decision in self.asker.expire(now):
-            self._act_on(decision, now)
+                self.slot_client.record_slot(decision.job)
+            self._apply_decision(decision, now)
+        for decision in self.slot_client.expire(now):
+            self._apply_decision(decision, now)
         self._send_due(now)
 
     def _send_due(self, now: float) -> None:
-        for address, state in self.asker.due_states(now):
+        for address, state in self.slot_client.due_states(now):
             self.replay.send(state, address, now)
             if state.waiting:
-                self.replay.clock.call_at(now + 0.031, self.pump)
-        for address, reply in self.granter.pending_replies():
+                self.replay.clock.call_at(now + 0.031, self.run_round)
+        for address, reply in self.slot_server.pending_replies():
             self.replay.send(reply, address, now)
 
-    def round(self, now: float) -> None:
+    def run_periodic_tasks(self, now: float) -> None:
         """Run the tasks that an entry runs ten times per second."""
-        for job in self.asker.refresh_coordinators(now):
+        for job in self.slot_client.refresh_coordinators(now):
             self.dispatcher.submit(job)
-        self.granter.expire(now)
-        self.endpoints.set_in_flight_elsewhere(self.peers.in_flight(now, self._counted))
-        self.pump(now)
-        self.replay.clock.call_at(now + ROUND_S, self.round)
+        self.slot_server.expire(now)
+        self.endpoints.set_in_flight_elsewhere(
+            self.peers.in_flight(now, self._separately_counted)
+        )
+        self.run_round(now)
+        self.replay.clock.call_at(now + ROUND_INTERVAL_S, self.run_periodic_tasks)
 
-    def tell(self, now: float) -> None:
+    def send_digest(self, now: float) -> None:
         """Send a digest to all other entries, and schedule the next one."""
         in_flight = {
             row.id: row.in_flight_here for row in self.endpoints if row.in_flight_here
@@ -190,7 +192,7 @@
             name=self.address.ip,
             address=self.address,
             incarnation=1,
-            number=next(self._number),
+            number=next(self._digest_numbers),
             age_s=now,
             leaving=False,
             revision=1,
@@ -203,34 +205,42 @@
         for other in self.replay.entries:
             if other is not self:
                 self.replay.send(digest, other.address, now)
-        self.replay.clock.call_at(now + max(self.peers.digest_interval_s, 0.05), self.tell)
+        self.replay.clock.call_at(
+            now + max(self.peers.digest_interval_s, 0.05), self.send_digest
+        )
 
     def receive(self, message: Message, now: float) -> None:
         """Handle a message from another entry."""
         if isinstance(message, SlotState):
-            if self.granter.handle_state(message, now):
-                self.pump(now)
+            if self.slot_server.handle_state(message, now):
+                self.run_round(now)
         elif isinstance(message, SlotReply):
-            for decision in self.asker.handle_reply(message, now):
-                self._act_on(decision, now)
+            for decision in self.slot_client.handle_reply(message, now):
+                self._apply_decision(decision, now)
             self._send_due(now)
         elif isinstance(message, Digest):
             merged = self.peers.merge(message, now)
             if merged.is_new:
-                previous = self._counted(merged.previous.digest) if merged.previous else {}
-                if self.endpoints.replace_peer_in_flight(previous, self._counted(message)):
-                    self.pump(now)
-
-    def _counted(self, digest: Digest) -> dict[str, int]:
-        if self.granter.is_client(digest.address, SERVICE):
+                previous = (
+                    self._separately_counted(merged.previous.digest)
+                    if merged.previous
+                    else {}
+                )
+                if self.endpoints.replace_peer_in_flight(
+                    previous, self._separately_counted(message)
+                ):
+                    self.run_round(now)
+
+    def _separately_counted(self, digest: Digest) -> dict[str, int]:
+        if self.slot_server.is_client(digest.address, SERVICE):
             return {}
         return digest.in_flight
 
-    def _act_on(self, decision: Decision, now: float) -> None:
+    def _apply_decision(self, decision: Decision, now: float) -> None:
         job = decision.job
         req = self._waiting.pop(id(job))
         if not isinstance(decision, Placed):
-            self.replay.refuse(req, decision.refusal.retry_after_s, now)
+            self.replay.handle_refusal(req, decision.refusal.retry_after_s, now)
             return
         engine = self.replay.engines[decision.endpoint.id]
         sent_at = now
@@ -242,22 +252,22 @@
                 row.record_measurement(SampleKind.FIRST_EVENT, at - sent_at, prefill_tokens)
             row.record_measurement(SampleKind.GAP, engine.gap_s())
             job.end_prefill()
-            self.asker.record_prefill_end(job)
+            self.slot_client.record_prefill_end(job)
             self._send_due(at)
-            is_in_time = at - req.tried_at <= req.kind.objective_s
+            is_in_time = at - req.first_attempt_at <= req.kind.objective_s
             counts = self.replay.totals.in_time if is_in_time else self.replay.totals.late
             outcomes.append(counts)
 
         def on_end(at: float, is_complete: bool) -> None:
             self.dispatcher.release_slot(job)
-            self.asker.drop(job)
+            self.slot_client.drop(job)
             counts = outcomes[0] if is_complete and outcomes else self.replay.totals.cut
             counts[req.kind.name] += 1
-            self.replay.clock.call_at(at, self.pump)
+            self.replay.clock.call_at(at, self.run_round)
 
         outcomes: list[Counter[str]] = []
         run = Run(req.tokens, req.events, on_first, on_end)
-        self.replay.clock.call_at(now + ENDPOINT_DELAY_S, lambda at: engine.take(run, at))
+        self.replay.clock.call_at(now + ENDPOINT_DELAY_S, lambda at: engine.submit(run, at))
 
 
 class Replay:
@@ -269,74 +279,78 @@
         engines: Number of engines at the start.
         seed: Seed of arrivals, lengths, delays and losses.
         is_coordinated: Whether one entry grants all slots.
-        loss: Fraction of the messages that are lost.
+        loss_fraction: Fraction of the messages that are lost.
     """
 
     def __init__(
         self,
-        pattern: Pattern,
+        pattern: LoadPattern,
         *,
         entries: int,
         engines: int,
         seed: int,
         is_coordinated: bool = True,
-        loss: float = 0.0,
+        loss_fraction: float = 0.0,
     ) -> None:
         self.pattern = pattern
         self.seed = seed
         self.is_coordinated = is_coordinated
-        self.clock = Clock()
-        self.totals = Totals()
+        self.clock = SimulatedClock()
+        self.totals = ReplayTotals()
         self.routes: dict[str, Route] = {kind.name: kind.route() for kind in KINDS}
         self.engines: dict[str, Engine] = {}
-        self._loss = loss
+        self._loss_fraction = loss_fraction
         self._rng = random.Random(seed)
-        self._network = random.Random(seed + 1)
-        self.entries = [EntryCores(self, number) for number in range(entries)]
+        self._network_rng = random.Random(seed + 1)
+        self.entries = [SimulatedEntry(self, number) for number in range(entries)]
         self._by_address = {entry.address: entry for entry in self.entries}
-        self._first_engines = engines
+        self._initial_engines = engines
         for _ in range(engines):
             self._add_engine()
 
-    def play(self) -> Totals:
+    def run(self) -> ReplayTotals:
         """Run the replay and return its totals."""
         started_at = self.clock.now
         for number, entry in enumerate(self.entries):
-            self.clock.call_at(started_at - 2 + 0.01 * number, entry.tell)
-            self.clock.call_at(started_at - 1 + 0.001 * number, entry.round)
+            self.clock.call_at(started_at - 2 + 0.01 * number, entry.send_digest)
+            self.clock.call_at(started_at - 1 + 0.001 * number, entry.run_periodic_tasks)
         for kind in KINDS:
-            for when, count in self.pattern.arrivals(kind, self._first_engines, self._rng):
+            for when, count in self.pattern.arrivals(
+                kind, self._initial_engines, self._rng
+            ):
                 for _ in range(count):
-                    self.clock.call_at(started_at + when, self._arrive(kind))
+                    self.clock.call_at(started_at + when, self._new_arrival(kind))
         for change in self.pattern.changes:
-            self.clock.call_at(started_at + change.at_s, partial(self._change, change.part))
+            self.clock.call_at(
+                started_at + change.at_s, partial(self._apply_change, change.fraction)
+            )
         self.clock.run_until(started_at + self.pattern.length_s + 15.0)
         return self.totals
 
-    def _arrive(self, kind: Kind) -> Callable[[float], None]:
+    def _new_arrival(self, kind: RequestKind) -> Callable[[float], None]:
         tokens = int(min(self._rng.expovariate(1 / kind.prompt_tokens), 18_000)) + 60
         events = int(min(self._rng.expovariate(1 / kind.events), 10 * kind.events)) + 1
         entry = self._rng.choice(self.entries)
 
         def arrive(now: float) -> None:
-            self.totals.asked[kind.name] += 1
+            self.totals.sent[kind.name] += 1
             entry.submit(Request(kind, tokens, events, now), now)
 
         return arrive
 
-    def refuse(self, req: Request, retry_after_s: float | None, now: float) -> None:
+    def handle_refusal(self, req: Request, retry_after_s: float | None, now: float) -> None:
         """Let a caller retry once at a random entry, or count the request as refused."""
         self.totals.refusals += 1
-        self.totals.free_at_refusal += sum(
+        self.totals.free_slots_at_refusals += sum(
             max(engine.slots - len(engine.running) - len(engine.queue), 0)
             for engine in self.engines.values()
-            if not engine.is_gone
+            if not engine.is_stopped
         )
-        left_s = req.tried_at + req.kind.deadline_s - now
-        if not req.may_return or retry_after_s is None or retry_after_s > left_s / 3:
+        left_s = req.first_attempt_at + req.kind.deadline_s - now
+        if not req.may_retry or retry_after_s is None or retry_after_s > left_s / 3:
             self.totals.refused[req.kind.name] += 1
             return
-        req.may_return = False
+        req.may_retry = False
         entry = self._rng.choice(self.entries)
         self.clock.call_at(now + retry_after_s, lambda at: entry.submit(req, at))
 
@@ -344,29 +358,36 @@
         """Deliver a message after a random delay, or drop it."""
         self.totals.messages += 1
         self.totals.bytes += len(encode(message))
-        if self._network.random() < self._loss:
+        if self._network_rng.random() < self._loss_fraction:
             return
         entry = self._by_address[address]
-        delay_s = self._network.uniform(*DELAY_S)
+        delay_s = self._network_rng.uniform(*MESSAGE_DELAY_S)
         self.clock.call_at(now + delay_s, lambda at: entry.receive(message, at))
 
     def _add_engine(self) -> None:
         number = len(self.engines)
-        time_factor = self.pattern.speeds[number % len(self.pattern.speeds)]
-        engine = Engine(f"e-{number}", SLOTS, time_factor, self.clock.call_at)
+        time_factor = self.pattern.time_factors[number % len(self.pattern.time_factors)]
+        engine = Engine(f"e-{number}", SLOTS_PER_ENGINE, time_factor, self.clock.call_at)
         self.engines[engine.id] = engine
         for entry in self.entries:
             entry.endpoints.publish(
-                Published(engine.id, SERVICE, f"10.1.0.{number}:80", "hall", SLOTS, False)
+                Published(
+                    engine.id,
+                    SERVICE,
+                    f"10.1.0.{number}:80",
+                    "hall",
+                    SLOTS_PER_ENGINE,
+                    False,
+                )
             )
 
-    def _change(self, fraction: float, now: float) -> None:
-        count = round(abs(fraction) * self._first_engines)
+    def _apply_change(self, fraction: float, now: float) -> None:
+        count = round(abs(fraction) * self._initial_engines)
         if fraction > 0:
             for _ in range(count):
                 self._add_engine()
             return
         for engine in list(self.engines.values())[:count]:
-            engine.go(now)
+            engine.stop(now)
             for entry in self.entries:
                 entry.endpoints.remove(engine.id)
--- a/benchmarks/replays/patterns.py
+++ b/benchmarks/replays/patterns.py
@@ -13,27 +13,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class RequestKind:
     """A kind of request.
 
     Attributes:
-        rate: Requests per second for each engine of the fleet.
+        requests_per_engine_s: Requests per second for each engine of the fleet.
         prompt_tokens: Mean of an exponential distribution.
         events: Mean of an exponential distribution.
-        worth: Value of a response that meets the objective.
-        late_worth: Value of a response that comes later.
+        value: Value of a response that meets the objective.
+        late_value: Value of a response that comes later.
     """
 
     name: str
     tier: int
-    rate: float
+    requests_per_engine_s: float
     prompt_tokens: float
     events: float
     objective_s: float
     gap_objective_s: float
     deadline_s: float
-    worth: float
-    late_worth: float
+    value: float
+    late_value: float
 
     def route(self) -> Route:
         """Return the route of its requests."""
@@ -53,9 +53,9 @@
         )
 
 
-DRAFT = Kind("draft", 0, 1.54, 2950, 17, 1.0, 0.3, 6.0, 6.0, 1.7)
-BRIEF = Kind("brief", 1, 1.17, 1860, 8, 0.8, 0.3, 4.0, 1.8, 0.53)
-CHAT = Kind("chat", 2, 1.55, 603, 92, 0.5, 0.3, 15.0, 0.37, 0.11)
+DRAFT = RequestKind("draft", 0, 1.54, 2950, 17, 1.0, 0.3, 6.0, 6.0, 1.7)
+BRIEF = RequestKind("brief", 1, 1.17, 1860, 8, 0.8, 0.3, 4.0, 1.8, 0.53)
+CHAT = RequestKind("chat", 2, 1.55, 603, 92, 0.5, 0.3, 15.0, 0.37, 0.11)
 KINDS = (DRAFT, BRIEF, CHAT)
 
 
@@ -75,63 +75,70 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class EngineChange:
     """Engines that start with empty caches, or stop, all at once.
 
     Attributes:
-        part: Fraction of the initial engines; negative if they stop.
+        fraction: Fraction of the initial engines; negative if they stop.
     """
 
     at_s: float
-    part: float
+    fraction: float
 
 
 @dataclass(frozen=True, slots=True)
-class Pattern:
+class LoadPattern:
     """The load and the changes of engines in one replay.
 
     Attributes:
-        swing: Amplitude of a sine wave in the load, as a fraction of its mean.
-        clump: Mean number of requests that arrive together.
-        speeds: Time factors of the engines, assigned in rotation.
+        wave_amplitude: Amplitude of a sine wave in the load, as a fraction of its mean.
+        mean_batch: Mean number of requests that arrive together.
+        time_factors: Time factors of the engines, assigned in rotation.
     """
 
     name: str
     length_s: float = 20.0
     load: float = 1.0
-    swing: float = 0.15
-    wave_s: float = 11.0
-    clump: float = 3.0
-    speeds: tuple[float, ...] = (0.6, 1.7, 1.7)
+    wave_amplitude: float = 0.15
+    wave_period_s: float = 11.0
+    mean_batch: float = 3.0
+    time_factors: tuple[float, ...] = (0.6, 1.7, 1.7)
     bursts: tuple[Burst, ...] = field(default=())
-    changes: tuple[Change, ...] = field(default=())
+    changes: tuple[EngineChange, ...] = field(default=())
 
-    def factor(self, kind: Kind, now: float) -> float:
+    def load_factor(self, kind: RequestKind, now: float) -> float:
         """Return the factor on a kind's usual rate at a given time."""
-        factor = self.load * (1 + self.swing * math.sin(2 * math.pi * now / self.wave_s))
+        factor = self.load * (
+            1 + self.wave_amplitude * math.sin(2 * math.pi * now / self.wave_period_s)
+        )
         for burst in self.bursts:
             if burst.start_s <= now < burst.end_s and burst.kind in ("", kind.name):
                 factor *= burst.factor
         return factor
 
     def arrivals(
-        self, kind: Kind, engines: int, rng: random.Random
+        self, kind: RequestKind, engines: int, rng: random.Random
     ) -> Iterator[tuple[float, int]]:
         """Yield the arrival times of a kind's requests, and how many arrive together."""
         now = 0.0
         while True:
-            rate = kind.rate * engines * self.factor(kind, now) / self.clump
+            rate = (
+                kind.requests_per_engine_s
+                * engines
+                * self.load_factor(kind, now)
+                / self.mean_batch
+            )
             now += rng.expovariate(rate)
             if now >= self.length_s:
                 return
-            yield now, min(int(rng.expovariate(1 / self.clump)) + 1, 12)
+            yield now, min(int(rng.expovariate(1 / self.mean_batch)) + 1, 12)
 
 
 PATTERNS = (
-    Pattern("quiet"),
-    Pattern("burst of all kinds", bursts=(Burst(6, 10, 1.8),)),
-    Pattern("burst of drafts", bursts=(Burst(6, 12, 2.2, "draft"),)),
-    Pattern("burst of chats", bursts=(Burst(4, 14, 2.5, "chat"),)),
-    Pattern("a quarter of the engines goes", changes=(Change(8, -0.25),)),
-    Pattern("a third more engines, empty", load=1.25, changes=(Change(8, 0.33),)),
+    LoadPattern("quiet"),
+    LoadPattern("burst of all kinds", bursts=(Burst(6, 10, 1.8),)),
+    LoadPattern("burst of drafts", bursts=(Burst(6, 12, 2.2, "draft"),)),
+    LoadPattern("burst of chats", bursts=(Burst(4, 14, 2.5, "chat"),)),
+    LoadPattern("a quarter of the engines goes", changes=(EngineChange(8, -0.25),)),
+    LoadPattern("a third more engines, empty", load=1.25, changes=(EngineChange(8, 0.33),)),
 )
--- a/benchmarks/session.py
+++ b/benchmarks/session.py
@@ -14,13 +14,13 @@
 import click  # noqa: E402
 
 from dockreach.launching import OPERATOR_KEY, Deployment  # noqa: E402
-from dockreach.load import Load  # noqa: E402
+from dockreach.load import LoadGenerator  # noqa: E402
 from dockreach.profiles import small  # noqa: E402
 
 RESULT = Path("docs/results/session.txt")
-RATE = 14.0
+REQUESTS_PER_S = 14.0
 LOAD_S = 14.0
-WARM_S = 5.0
+WARM_UP_S = 5.0
 
 
 def record(deployment: Deployment, directory: Path) -> list[str]:
@@ -38,7 +38,7 @@
             env={
                 **os.environ,
                 "COLUMNS": "150",
-                "DOCKREACH_ENTRY": _entry(deployment),
+                "DOCKREACH_ENTRY": _entry_url(deployment),
                 "DOCKREACH_OPERATOR_KEY": OPERATOR_KEY,
             },
         )
@@ -53,7 +53,7 @@
     run("query", "orgs where entry=entry1")
     response = deployment.http.request(
         "POST",
-        f"{_entry(deployment)}/operators/query",
+        f"{_entry_url(deployment)}/operators/query",
         json={"query": "requests where state=committed limit 1"},
         headers={"Authorization": f"Bearer {OPERATOR_KEY}"},
     ).json()
@@ -66,8 +66,8 @@
     return lines
 
 
-def _entry(deployment: Deployment) -> str:
-    return f"http://127.0.0.1:{deployment.entries['entry1'].http}"
+def _entry_url(deployment: Deployment) -> str:
+    return f"http://127.0.0.1:{deployment.entries['entry1'].http_port}"
 
 
 @click.command()
@@ -75,10 +75,10 @@
     """Record a session into docs/results/session.txt."""
     profile = small()
     with Deployment(profile.fleet) as deployment:
-        urls = [f"http://127.0.0.1:{row.http}" for row in deployment.entries.values()]
-        load = Load(urls, profile.kinds)
-        load_task = _green.spawn(load.run, [(LOAD_S, RATE)])
-        _green.sleep(WARM_S)
+        urls = [f"http://127.0.0.1:{row.http_port}" for row in deployment.entries.values()]
+        load = LoadGenerator(urls, profile.kinds)
+        load_task = _green.spawn(load.run, [(LOAD_S, REQUESTS_PER_S)])
+        _green.sleep(WARM_UP_S)
         lines = record(deployment, deployment.directory)
         load_task.wait()
     RESULT.parent.mkdir(parents=True, exist_ok=True)
--- a/dockreach/demo.py
+++ b/dockreach/demo.py
@@ -14,8 +14,8 @@
 from rich.progress import Progress  # noqa: E402
 from rich.table import Table  # noqa: E402
 
-from .launching import Deployment, alive  # noqa: E402
-from .load import Load, Outcome, percentile  # noqa: E402
+from .launching import Deployment, process_exists  # noqa: E402
+from .load import LoadGenerator, Outcome, percentile  # noqa: E402
 from .profiles import PROFILES  # noqa: E402
 
 SECONDS = 10.0
@@ -32,8 +32,8 @@
         table.add_row(
             tier,
             str(len(rows)),
-            str(sum(row.whole for row in rows)),
-            str(sum(row.in_time for row in rows)),
+            str(sum(row.is_complete for row in rows)),
+            str(sum(row.is_in_time for row in rows)),
             str(sum(row.status != 200 for row in rows)),
             f"{1000 * percentile(first, 0.5):.0f}",
             f"{1000 * percentile(first, 0.95):.0f}",
@@ -44,7 +44,7 @@
 def wasted_prefill(deployment: Deployment) -> tuple[int, int]:
     """Return the prefilled tokens of requests that did not complete, and of all."""
     wasted = total = 0
-    for log in deployment.run_log().values():
+    for log in deployment.run_logs().values():
         for row in log.values():
             if isinstance(row, int):
                 continue
@@ -56,7 +56,7 @@
 def second_runs(deployment: Deployment) -> int:
     """Return how many request ids were dispatched to engines more than once."""
     seen: dict[str, int] = {}
-    for log in deployment.run_log().values():
+    for log in deployment.run_logs().values():
         for rid, row in log.items():
             count = row if isinstance(row, int) else row["dispatched"]
             seen[rid] = seen.get(rid, 0) + count
@@ -75,11 +75,13 @@
     deployment = Deployment(chosen.fleet)
     with deployment:
         processes = deployment.processes()
-        urls = [f"http://127.0.0.1:{row.http}" for row in deployment.entries.values()]
+        urls = [f"http://127.0.0.1:{row.http_port}" for row in deployment.entries.values()]
         with Progress(console=console) as progress:
             expected = int(seconds * chosen.calm_rate)
             task = progress.add_task("requests", total=expected)
-            load = Load(urls, chosen.kinds, progress=lambda: progress.advance(task))
+            load = LoadGenerator(
+                urls, chosen.kinds, progress=lambda: progress.advance(task)
+            )
             outcomes = load.run([(seconds, chosen.calm_rate)])
             progress.update(task, total=len(outcomes), completed=len(outcomes))
         console.print(outcome_table(outcomes, f"{profile}: first token by tier"))
@@ -87,9 +89,9 @@
         repeated = second_runs(deployment)
     console.print(f"wasted prefill: {wasted} of {total} prompt tokens")
     console.print(f"requests run twice: {repeated}")
-    left_over = [process.name for process in processes if alive(process.pid)]
+    left_over = [process.name for process in processes if process_exists(process.pid)]
     console.print(f"processes left behind: {len(left_over)}")
-    whole = sum(row.whole for row in outcomes)
+    whole = sum(row.is_complete for row in outcomes)
     sys.exit(0 if outcomes and whole and not repeated and not left_over else 1)
 
 
--- a/dockreach/launching.py
+++ b/dockreach/launching.py
@@ -24,9 +24,9 @@
 from .declarations import key_hash
 from .messages import VmRow
 
-START_S = 30.0
+START_TIMEOUT_S = 30.0
 OPERATOR_KEY = "operator-key"
-POLL_S = 0.02
+POLL_INTERVAL_S = 0.02
 
 
 @dataclass(slots=True, frozen=True)
@@ -95,13 +95,13 @@
             )
         pools = {item.pool for item in self.endpoints}
         parts += [f"[pool {name}]" for name in sorted(pools)]
-        parts += [_declare(item) for item in self.endpoints]
+        parts += [_endpoint_section(item) for item in self.endpoints]
         parts += [f"[model {name}]\npool={pool}" for name, pool in self.models.items()]
         parts += [f"[service {name}]\n{text}" for name, text in self.services.items()]
         return "\n\n".join([*parts, extra]) + "\n"
 
 
-def _declare(item: EndpointSpec) -> str:
+def _endpoint_section(item: EndpointSpec) -> str:
     gap = item.declared_gap_ms or item.gap_ms
     return (
         f"[endpoint {item.name}]\npool={item.pool}\nhall={item.hall}\nkind={item.kind}\n"
@@ -117,22 +117,22 @@
     name: str
     popen: subprocess.Popen[bytes]
     log: Path
-    http: int = 0
-    link: int = 0
+    http_port: int = 0
+    link_port: int = 0
 
     @property
     def pid(self) -> int:
         """The process id."""
         return self.popen.pid
 
-    def send(self, number: int) -> None:
+    def send_signal(self, number: int) -> None:
         """Send a signal, unless the process has already ended."""
         with contextlib.suppress(ProcessLookupError):
             self.popen.send_signal(number)
 
     def kill(self) -> None:
         """Kill the process with SIGKILL and wait until it has ended."""
-        self.send(signal.SIGKILL)
+        self.send_signal(signal.SIGKILL)
         self.popen.wait()
 
     def events(self) -> list[dict[str, Any]]:
@@ -162,7 +162,7 @@
         self.agents: dict[str, Process] = {}
         self.entries: dict[str, Process] = {}
         self.http = urllib3.PoolManager(retries=False, maxsize=64)
-        self._starts = 0
+        self._start_count = 0
 
     def __enter__(self) -> Deployment:
         try:
@@ -179,26 +179,28 @@
         """Start everything and wait until the entries are ready."""
         self.start_stand_ins()
         for item in self.spec.endpoints:
-            self.agents[item.name] = self._agent(item)
+            self.agents[item.name] = self._start_agent(item)
         for name, hall in self.spec.entries:
-            self.entries[name] = self._entry(name, hall)
+            self.entries[name] = self._start_entry(name, hall)
         self._await_daemons([*self.agents.values(), *self.entries.values()])
         self.publish_vms()
         self.await_ready()
 
     def start_stand_ins(self) -> None:
         """Start the platform and the endpoints, and publish the declarations."""
-        self.platform = self._stand_in("platform", "standin_platform", "--lag-ms", "100")
+        self.platform = self._start_stand_in(
+            "platform", "standin_platform", "--lag-ms", "100"
+        )
         for item in self.spec.endpoints:
-            self.engines[item.name] = self._engine(item)
+            self.engines[item.name] = self._start_engine(item)
         self._await_stand_ins()
         self.publish()
 
     def stop(self) -> None:
         """Kill every process that was started, each by its id."""
         for process in self.processes():
-            process.send(signal.SIGCONT)
-            process.send(signal.SIGKILL)
+            process.send_signal(signal.SIGCONT)
+            process.send_signal(signal.SIGKILL)
         for process in self.processes():
             process.popen.wait()
 
@@ -210,27 +212,29 @@
     def publish(self, extra: str = "") -> None:
         """Publish the declarations under the current revision."""
         body = self.spec.declarations(self.revision, extra)
-        self.admin(config=body, revision=self.revision)
+        self.update_platform(config=body, revision=self.revision)
 
-    def admin(self, **fields: Any) -> None:  # noqa: ANN401
+    def update_platform(self, **fields: Any) -> None:  # noqa: ANN401
         """Change the state of the platform stand-in through its ``/admin`` page."""
         assert self.platform is not None
-        url = f"http://127.0.0.1:{self.platform.http}/admin"
+        url = f"http://127.0.0.1:{self.platform.http_port}/admin"
         self.http.request("POST", url, body=msgspec.json.encode(fields))
 
-    def publish_vms(self, leaving: tuple[str, ...] = (), but: tuple[str, ...] = ()) -> None:
+    def publish_vms(
+        self, leaving: tuple[str, ...] = (), excluded: tuple[str, ...] = ()
+    ) -> None:
         """Publish the VM list, with some VMs marked as leaving and some left out."""
         halls = {item.name: item.hall for item in self.spec.endpoints}
         halls.update(dict(self.spec.entries))
         rows = []
         for role, table in (("agent", self.agents), ("entry", self.entries)):
             for name, process in table.items():
-                if name in but:
+                if name in excluded:
                     continue
                 state = "leaving" if name in leaving else "live"
-                address = f"127.0.0.1:{process.link}"
+                address = f"127.0.0.1:{process.link_port}"
                 rows.append(VmRow(name, address, role, halls[name], state))
-        self.admin(vms=[msgspec.to_builtins(row) for row in rows])
+        self.update_platform(vms=[msgspec.to_builtins(row) for row in rows])
 
     def await_ready(self) -> None:
         """Wait until each entry is ready and linked to each live agent."""
@@ -248,7 +252,7 @@
 
     def get(self, process: Process, path: str) -> urllib3.BaseHTTPResponse:
         """Fetch one HTTP page of a process."""
-        url = f"http://127.0.0.1:{process.http}{path}"
+        url = f"http://127.0.0.1:{process.http_port}{path}"
         return self.http.request("GET", url, timeout=10.0)
 
     def metric(self, process: Process, name: str) -> float:
@@ -257,12 +261,12 @@
         rows = [line for line in text.splitlines() if line.startswith(name)]
         return sum(float(line.rsplit(" ", 1)[1]) for line in rows)
 
-    def control(self, engine: str, **fields: Any) -> None:  # noqa: ANN401
+    def control_engine(self, engine: str, **fields: Any) -> None:  # noqa: ANN401
         """Set the faults of an engine stand-in through its ``/control`` page."""
-        url = f"http://127.0.0.1:{self.engines[engine].http}/control"
+        url = f"http://127.0.0.1:{self.engines[engine].http_port}/control"
         self.http.request("POST", url, body=msgspec.json.encode(fields))
 
-    def run_log(self) -> dict[str, dict[str, Any]]:
+    def run_logs(self) -> dict[str, dict[str, Any]]:
         """Return the run logs of the engines that are up, by engine name."""
         logs = {}
         for name, process in self.engines.items():
@@ -270,10 +274,10 @@
                 logs[name] = msgspec.json.decode(self.get(process, "/log").data)
         return logs
 
-    def runs_of(self, rid: str) -> int:
+    def run_count(self, rid: str) -> int:
         """Return how many times a request was dispatched to engines, over all engines."""
         total = 0
-        for log in self.run_log().values():
+        for log in self.run_logs().values():
             row = log.get(rid, 0)
             total += row if isinstance(row, int) else row["dispatched"]
         return total
@@ -281,7 +285,7 @@
     def restart_agent(self, name: str) -> Process:
         """Start a new process for an agent and publish its address."""
         item = next(spec for spec in self.spec.endpoints if spec.name == name)
-        self.agents[name] = self._agent(item)
+        self.agents[name] = self._start_agent(item)
         self._await_daemons([self.agents[name]])
         self.publish_vms()
         return self.agents[name]
@@ -289,22 +293,22 @@
     def restart_agent_in_place(self, name: str) -> Process:
         """Start a new process for an agent at its old link address, without publishing."""
         item = next(spec for spec in self.spec.endpoints if spec.name == name)
-        link = self.agents[name].link
-        self.agents[name] = self._agent(item, link)
+        link = self.agents[name].link_port
+        self.agents[name] = self._start_agent(item, link)
         self._await_daemons([self.agents[name]])
         return self.agents[name]
 
     def restart_entry(self, name: str) -> Process:
         """Start a new process for an entry and publish its address."""
-        self.entries[name] = self._entry(name, dict(self.spec.entries)[name])
+        self.entries[name] = self._start_entry(name, dict(self.spec.entries)[name])
         self._await_daemons([self.entries[name]])
         self.publish_vms()
         return self.entries[name]
 
-    def _engine(self, item: EndpointSpec) -> Process:
+    def _start_engine(self, item: EndpointSpec) -> Process:
         if item.kind == "service":
-            return self._stand_in(item.name, "standin_service")
-        return self._stand_in(
+            return self._start_stand_in(item.name, "standin_service")
+        return self._start_stand_in(
             item.name,
             "standin_engine",
             "--prefill-rate",
@@ -317,37 +321,37 @@
             str(item.cache_blocks),
         )
 
-    def _stand_in(self, name: str, module: str, *options: str) -> Process:
+    def _start_stand_in(self, name: str, module: str, *options: str) -> Process:
         return self.spawn(f"standin-{name}", f"dockreach.{module}", list(options))
 
-    def _agent(self, item: EndpointSpec, link: int = 0) -> Process:
-        url = f"http://127.0.0.1:{self.engines[item.name].http}"
-        text = self._settings(item.name, "agent", item.hall, link)
-        return self._daemon(item.name, f"{text}\n[engine]\nurl = {url}\n")
+    def _start_agent(self, item: EndpointSpec, link: int = 0) -> Process:
+        url = f"http://127.0.0.1:{self.engines[item.name].http_port}"
+        text = self._settings_text(item.name, "agent", item.hall, link)
+        return self._start_daemon(item.name, f"{text}\n[engine]\nurl = {url}\n")
 
-    def _entry(self, name: str, hall: str) -> Process:
-        return self._daemon(name, self._settings(name, "entry", hall))
+    def _start_entry(self, name: str, hall: str) -> Process:
+        return self._start_daemon(name, self._settings_text(name, "entry", hall))
 
-    def _settings(self, name: str, role: str, hall: str, link: int = 0) -> str:
+    def _settings_text(self, name: str, role: str, hall: str, link: int = 0) -> str:
         assert self.platform is not None
         return (
             f"[daemon]\nname = {name}\nrole = {role}\nhall = {hall}\n\n"
             f"[listen]\nhttp = 127.0.0.1:0\nlink = 127.0.0.1:{link}\n\n"
-            f"[platform]\nurl = http://127.0.0.1:{self.platform.http}\n"
+            f"[platform]\nurl = http://127.0.0.1:{self.platform.http_port}\n"
             "vm_poll_s = 0.3\nwatch_s = 5\n\n"
             f"[limits]\n{self.spec.limits}\n\n"
             f"[operators]\nkey_sha256 = {key_hash(OPERATOR_KEY)}\n"
         )
 
-    def _daemon(self, name: str, settings: str) -> Process:
+    def _start_daemon(self, name: str, settings: str) -> Process:
         path = self.directory / f"{name}.ini"
         path.write_text(settings)
         return self.spawn(name, "dockreach.daemon", ["--config", str(path)])
 
     def spawn(self, name: str, module: str, options: list[str]) -> Process:
         """Start a Python module as a process that logs to a file of its own."""
-        self._starts += 1
-        log = self.directory / f"{name}-{self._starts}.log"
+        self._start_count += 1
+        log = self.directory / f"{name}-{self._start_count}.log"
         command = [sys.executable, "-m", module, *options]
         with log.open("wb") as file:
             popen = subprocess.Popen(  # noqa: S603
@@ -362,28 +366,28 @@
 
     def _await_daemons(self, processes: list[Process]) -> None:
         for process in processes:
-            wait_until(lambda process=process: _read_ports(process), process.name)
+            wait_until(lambda process=process: _read_daemon_ports(process), process.name)
 
 
 def read_port(process: Process) -> bool:
     """Set a stand-in's port from its log; return whether the log has it."""
     for line in process.log.read_text().splitlines():
         if line.startswith("listening "):
-            process.http = int(line.split()[1])
+            process.http_port = int(line.split()[1])
             return True
     return False
 
 
-def _read_ports(process: Process) -> bool:
+def _read_daemon_ports(process: Process) -> bool:
     for row in process.events():
         if row.get("event") == 100:
-            process.http = row["http"]
-            process.link = row["link"]
+            process.http_port = row["http"]
+            process.link_port = row["link"]
             return True
     return False
 
 
-def wait_until(condition: Any, what: str, seconds: float = START_S) -> None:  # noqa: ANN401
+def wait_until(condition: Any, what: str, seconds: float = START_TIMEOUT_S) -> None:  # noqa: ANN401
     """Wait until a condition holds.
 
     Raises:
@@ -393,20 +397,20 @@
     while not condition():
         if time.monotonic() > deadline:
             raise TimeoutError(f"waited {seconds} s for {what}")
-        time.sleep(POLL_S)
+        time.sleep(POLL_INTERVAL_S)
 
 
 @contextlib.contextmanager
-def stopped(process: Process) -> Iterator[None]:
+def paused(process: Process) -> Iterator[None]:
     """Suspend a process for the duration of a ``with`` block."""
-    process.send(signal.SIGSTOP)
+    process.send_signal(signal.SIGSTOP)
     try:
         yield
     finally:
-        process.send(signal.SIGCONT)
+        process.send_signal(signal.SIGCONT)
 
 
-def alive(pid: int) -> bool:
+def process_exists(pid: int) -> bool:
     """Return whether a process exists."""
     try:
         os.kill(pid, 0)
--- a/dockreach/load.py
+++ b/dockreach/load.py
@@ -19,12 +19,12 @@
 from . import _green
 from .prefix import CHARS_PER_TOKEN
 
-LEAVE_S = 0.5
+DISCONNECT_AFTER_DEADLINE_S = 0.5
 """Time from a request's deadline until its caller disconnects, in seconds."""
 
 
 @dataclass(slots=True, frozen=True)
-class Kind:
+class RequestKind:
     """One kind of request.
 
     Attributes:
@@ -59,14 +59,14 @@
     verdict: str
     code: str
     rid: str
-    whole: bool
-    in_time: bool
+    is_complete: bool
+    is_in_time: bool
     first_token_s: float | None
     total_s: float
 
 
 @dataclass(slots=True)
-class Load:
+class LoadGenerator:
     """Sends a load and collects its outcomes.
 
     Args:
@@ -76,7 +76,7 @@
     """
 
     urls: Sequence[str]
-    kinds: Sequence[Kind]
+    kinds: Sequence[RequestKind]
     seed: int = 1
     outcomes: list[Outcome] = field(default_factory=list)
     sent: int = 0
@@ -102,13 +102,13 @@
                 kind = rng.choices(self.kinds, [item.weight for item in self.kinds])[0]
                 call = Call(pool, rng.choice(self.urls), kind, rng.getrandbits(48), start)
                 self.sent += 1
-                greenlets.append(_green.spawn(self._one, call))
+                greenlets.append(_green.spawn(self._run_call, call))
             due_s = phase_end_s
         for greenlet in greenlets:
             greenlet.wait()
         return self.outcomes
 
-    def _one(self, call: Call) -> None:
+    def _run_call(self, call: Call) -> None:
         outcome = call.run(self.extra_headers)
         self.outcomes.append(outcome)
         if self.progress is not None:
@@ -119,14 +119,19 @@
     """One request of a caller."""
 
     def __init__(
-        self, pool: urllib3.PoolManager, url: str, kind: Kind, number: int, start: float
+        self,
+        pool: urllib3.PoolManager,
+        url: str,
+        kind: RequestKind,
+        number: int,
+        start: float,
     ) -> None:
         self._pool = pool
         self._url = url
         self._kind = kind
         self._number = number
-        self._start = start
-        self._first: float | None = None
+        self._load_started_at = start
+        self._first_token_at: float | None = None
 
     def run(self, extra_headers: dict[str, str]) -> Outcome:
         """Send the request and read its response."""
@@ -134,12 +139,12 @@
         headers = self._headers() | extra_headers
         status, verdict, code, rid, is_complete = 0, "", "", "", False
         try:
-            response = self._send(headers)
+            response = self._send_request(headers)
             status = response.status
             verdict = response.headers.get("Dockreach-Verdict", "")
             rid = response.headers.get("Dockreach-Request-Id", "")
             if status == 200:
-                is_complete = self._read(response)
+                is_complete = self._read_response(response)
             else:
                 code = _error_code(response.read())
             response.release_conn()
@@ -149,14 +154,16 @@
         return Outcome(
             kind=self._kind.name,
             tier=self._kind.tier,
-            sent_at=sent - self._start,
+            sent_at=sent - self._load_started_at,
             status=status,
             verdict=verdict,
             code=code,
             rid=rid,
-            whole=is_complete,
-            in_time=is_complete and total <= self._kind.deadline_s,
-            first_token_s=None if self._first is None else self._first - sent,
+            is_complete=is_complete,
+            is_in_time=is_complete and total <= self._kind.deadline_s,
+            first_token_s=None
+            if self._first_token_at is None
+            else self._first_token_at - sent,
             total_s=total,
         )
 
@@ -169,10 +176,12 @@
             "Dockreach-Deadline-Ms": str(int(kind.deadline_s * 1000)),
         }
 
-    def _send(self, headers: dict[str, str]) -> Any:  # noqa: ANN401
+    def _send_request(self, headers: dict[str, str]) -> Any:  # noqa: ANN401
         kind = self._kind
         # Callers disconnect when the response can no longer arrive in time.
-        timeout = urllib3.Timeout(connect=5.0, read=kind.deadline_s + LEAVE_S)
+        timeout = urllib3.Timeout(
+            connect=5.0, read=kind.deadline_s + DISCONNECT_AFTER_DEADLINE_S
+        )
         if kind.service:
             path = f"{self._url}/services/{kind.service}/item/{self._number}"
             return self._pool.request(
@@ -201,20 +210,22 @@
         unique = _filler(f"{self._number:x} ", kind.prompt_tokens - kind.shared_tokens)
         return shared + unique
 
-    def _read(self, response: Any) -> bool:  # noqa: ANN401
+    def _read_response(self, response: Any) -> bool:  # noqa: ANN401
         """Read a response; return whether it holds every token once and in order."""
         data = b""
-        disconnect_at = time.monotonic() + self._kind.deadline_s + LEAVE_S
+        disconnect_at = (
+            time.monotonic() + self._kind.deadline_s + DISCONNECT_AFTER_DEADLINE_S
+        )
         for chunk in response.stream(65536):
-            if self._first is None:
-                self._first = time.monotonic()
+            if self._first_token_at is None:
+                self._first_token_at = time.monotonic()
             data += chunk
             if time.monotonic() > disconnect_at:
                 response.close()
                 return False
         if self._kind.service:
             return f"/item/{self._number}".encode() in data
-        return _whole_stream(data, self._kind.output_tokens)
+        return _is_complete_stream(data, self._kind.output_tokens)
 
 
 def _filler(text: str, tokens: int) -> str:
@@ -222,7 +233,7 @@
     return (text * (length // len(text) + 1))[:length]
 
 
-def _whole_stream(data: bytes, tokens: int) -> bool:
+def _is_complete_stream(data: bytes, tokens: int) -> bool:
     events = [part for part in data.split(b"\n\n") if part]
     if len(events) != tokens + 1 or events[-1] != b"data: [DONE]":
         return False
@@ -236,9 +247,9 @@
         return "unreadable"
 
 
-def percentile(values: Sequence[float], part: float) -> float:
+def percentile(values: Sequence[float], fraction: float) -> float:
     """Return a percentile of the values; NaN if there are none."""
     if not values:
         return math.nan
     sorted_values = sorted(values)
-    return sorted_values[min(len(sorted_values) - 1, int(part * len(sorted_values)))]
+    return sorted_values[min(len(sorted_values) - 1, int(fraction * len(sorted_values)))]
--- a/dockreach/profiles.py
+++ b/dockreach/profiles.py
@@ -5,18 +5,18 @@
 from typing import NamedTuple
 
 from .launching import EndpointSpec, FleetSpec, OrganisationSpec
-from .load import Kind
+from .load import RequestKind
 
 
 class Profile(NamedTuple):
     """A fleet, a load for it, and the rate of a calm load in requests per second."""
 
     fleet: FleetSpec
-    kinds: list[Kind]
+    kinds: list[RequestKind]
     calm_rate: float
 
 
-_SPEEDS = (
+_ENGINE_SPEEDS = (
     # slots, prefill tokens per second, milliseconds between tokens
     (8, 8000.0, 12.0),
     (6, 4000.0, 20.0),
@@ -27,7 +27,7 @@
 def _engines(count: int, halls: int, pool: str) -> list[EndpointSpec]:
     engines = []
     for index in range(count):
-        slots, prefill, gap = _SPEEDS[index % len(_SPEEDS)]
+        slots, prefill, gap = _ENGINE_SPEEDS[index % len(_ENGINE_SPEEDS)]
         engines.append(
             EndpointSpec(
                 name=f"engine{index + 1}",
@@ -55,14 +55,14 @@
     ]
 
 
-def _kinds(main: str, second: str, tiers: tuple[str, str, str]) -> list[Kind]:
+def _kinds(main: str, second: str, tiers: tuple[str, str, str]) -> list[RequestKind]:
     """Return a mix of requests whose lengths differ by a factor of about a hundred."""
     top, middle, low = tiers
     return [
-        Kind("bulletin", 2, main, top, 1500, 80, shared_tokens=1024, variants=4),
-        Kind("draft", 1, main, middle, 3000, 160, shared_tokens=2048, variants=8),
-        Kind("lookup", 5, second, low, 40, 12, deadline_s=10.0),
-        Kind("record", 2, second, low, 1, 1, deadline_s=5.0, service="records"),
+        RequestKind("bulletin", 2, main, top, 1500, 80, shared_tokens=1024, variants=4),
+        RequestKind("draft", 1, main, middle, 3000, 160, shared_tokens=2048, variants=8),
+        RequestKind("lookup", 5, second, low, 40, 12, deadline_s=10.0),
+        RequestKind("record", 2, second, low, 1, 1, deadline_s=5.0, service="records"),
     ]
 
 
@@ -81,7 +81,7 @@
     return Profile(fleet, kinds, 6.0)
 
 
-def _user(engines: int, drafting: int, records: int, weight: float) -> Profile:
+def _customer_profile(engines: int, drafting: int, records: int, weight: float) -> Profile:
     halls = 3
     organisations = [
         OrganisationSpec("large1", "bulletin, notice, lookup", share=3.0),
@@ -108,19 +108,21 @@
     kinds = [
         *_kinds("large1", "small1", ("bulletin", "notice", "lookup")),
         *_kinds("large2", "small2", ("bulletin", "notice", "lookup")),
-        Kind("filing", 1, "large1", "notice", 1, 1, deadline_s=5.0, service="drafting"),
+        RequestKind(
+            "filing", 1, "large1", "notice", 1, 1, deadline_s=5.0, service="drafting"
+        ),
     ]
     return Profile(fleet, kinds, engines * 1.5)
 
 
 def bilbao() -> Profile:
     """A software house: 30 engines, 5 drafting and 3 records workers."""
-    return _user(30, 5, 3, weight=2.0)
+    return _customer_profile(30, 5, 3, weight=2.0)
 
 
 def remar() -> Profile:
     """An air quality network: 40 engines, 6 model and 3 station data workers."""
-    return _user(40, 6, 3, weight=0.5)
+    return _customer_profile(40, 6, 3, weight=0.5)
 
 
 PROFILES = {"small": small, "bilbao": bilbao, "remar": remar}
--- a/dockreach/standin_engine.py
+++ b/dockreach/standin_engine.py
@@ -31,11 +31,11 @@
 
 STEP_S = 0.002
 IDLE_STEP_S = 0.005
-BATCH_COST = 0.5
+FULL_BATCH_SLOWDOWN = 0.5
 """Relative increase of the time between tokens when the batch is full."""
 
-KEPT_EVENTS = 500
-DEFAULT_OUTPUT = 64
+MAX_CACHE_EVENTS = 500
+DEFAULT_OUTPUT_TOKENS = 64
 
 StartResponse = Callable[..., Any]
 
@@ -67,19 +67,19 @@
 
     rid: str
     priority: int
-    order: int
+    arrival_number: int
     blocks: tuple[int, ...]
     prompt_tokens: int
     output_tokens: int
     seed: str
-    left: float = 0.0
+    remaining_prefill: float = 0.0
     produced: int = 0
-    next_token: float = 0.0
-    cancelled: bool = False
-    wake: Any = field(default_factory=_green.Signal)
+    next_token_at: float = 0.0
+    is_cancelled: bool = False
+    progress: Any = field(default_factory=_green.Signal)
 
     @property
-    def finished(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether all tokens were produced."""
         return self.produced >= self.output_tokens
 
@@ -104,25 +104,25 @@
         self.decoding: list[Run] = []
         self.log: dict[str, LogRow] = {}
         self.cache: OrderedDict[int, None] = OrderedDict()
-        self.events: deque[dict[str, Any]] = deque(maxlen=KEPT_EVENTS)
+        self.events: deque[dict[str, Any]] = deque(maxlen=MAX_CACHE_EVENTS)
         self.event_number = 0
         self.orders: list[LoadOrder] = []
         self.state = EndpointState()
-        self._order = 0
-        self._current: Run | None = None
+        self._arrival_number = 0
+        self._prefilling: Run | None = None
 
     def submit(self, rid: str, priority: int, completion: Completion) -> Run:
         """Accept a request; the log counts it even if its id was seen before."""
         text = prompt_text(completion)
         limit = completion.max_completion_tokens or completion.max_tokens
-        self._order += 1
+        self._arrival_number += 1
         run = Run(
             rid=rid,
             priority=priority,
-            order=self._order,
+            arrival_number=self._arrival_number,
             blocks=block_hashes(text),
             prompt_tokens=estimate_tokens(text),
-            output_tokens=limit or DEFAULT_OUTPUT,
+            output_tokens=limit or DEFAULT_OUTPUT_TOKENS,
             seed=blake2b(text.encode(), digest_size=3).hexdigest(),
         )
         row = self.log.setdefault(rid, LogRow())
@@ -131,7 +131,7 @@
         self.queue.append(run)
         return run
 
-    def order(self, order: LoadOrder) -> bool:
+    def apply_order(self, order: LoadOrder) -> bool:
         """Apply an order; return ``False`` if its fence is not above the last one's."""
         if self.orders and order.fence <= self.orders[-1].fence:
             return False
@@ -144,60 +144,62 @@
         run = self.runs.get(rid)
         if run is None:
             return False
-        if not run.finished:
-            run.cancelled = True
+        if not run.is_finished:
+            run.is_cancelled = True
             self.log[rid].ended = "cancelled"
         if run in self.queue:
             self.queue.remove(run)
-        run.wake.set()
+        run.progress.set()
         return True
 
-    def serve(self) -> None:
+    def run_forever(self) -> None:
         """Advance the model in real time, without end."""
         last = time.monotonic()
         while True:
-            _green.sleep(STEP_S if self._busy() else IDLE_STEP_S)
+            _green.sleep(STEP_S if self._is_busy() else IDLE_STEP_S)
             now = time.monotonic()
             if not self.control.hang:
                 self._step((now - last) / self.control.slow, now)
             last = now
 
-    def _busy(self) -> bool:
-        return bool(self.queue or self._current or self.decoding)
+    def _is_busy(self) -> bool:
+        return bool(self.queue or self._prefilling or self.decoding)
 
     def _step(self, elapsed: float, now: float) -> None:
         self._prefill(elapsed * self.prefill_rate, now)
         active = self.decoding
-        gap = self.gap_s * (1 + BATCH_COST * len(active) / self.batch)
+        gap = self.gap_s * (1 + FULL_BATCH_SLOWDOWN * len(active) / self.batch)
         gap *= self.control.slow
         for run in active:
-            while run.next_token <= now and not run.finished:
+            while run.next_token_at <= now and not run.is_finished:
                 run.produced += 1
-                run.next_token += gap
-                run.wake.set()
+                run.next_token_at += gap
+                run.progress.set()
             self.log[run.rid].generated = run.produced
-            if run.finished:
+            if run.is_finished:
                 self.log[run.rid].ended = "whole"
-        self.decoding = [run for run in active if not run.finished and not run.cancelled]
+        self.decoding = [
+            run for run in active if not run.is_finished and not run.is_cancelled
+        ]
 
     def _prefill(self, budget: float, now: float) -> None:
         while budget > 0:
-            run = self._current
-            if run is None or run.cancelled:
-                run = self._current = self._next()
+            run = self._prefilling
+            if run is None or run.is_cancelled:
+                run = self._prefilling = self._take_next_run()
             if run is None:
                 return
-            prefilled = min(budget, run.left)
-            run.left -= prefilled
+            prefilled = min(budget, run.remaining_prefill)
+            run.remaining_prefill -= prefilled
             budget -= prefilled
-            if run.left <= 0:
+            if run.remaining_prefill <= 0:
                 self._start_decoding(run, now)
-                self._current = None
+                self._prefilling = None
 
-    def _next(self) -> Run | None:
+    def _take_next_run(self) -> Run | None:
         if not self.queue or len(self.decoding) >= self.batch:
             return None
-        run = min(self.queue, key=lambda item: (item.priority, item.order))
+        run = min(self.queue, key=lambda item: (item.priority, item.arrival_number))
         self.queue.remove(run)
         cached = 0
         for block in run.blocks:
@@ -207,17 +209,17 @@
         row = self.log[run.rid]
         row.cached = cached
         row.prefilled += run.prompt_tokens - cached
-        run.left = max(1, run.prompt_tokens - cached)
+        run.remaining_prefill = max(1, run.prompt_tokens - cached)
         return run
 
     def _start_decoding(self, run: Run, now: float) -> None:
-        self._store(run.blocks)
+        self._update_cache(run.blocks)
         self.decoding.append(run)
         run.produced = 1
-        run.next_token = now + self.gap_s * self.control.slow
-        run.wake.set()
+        run.next_token_at = now + self.gap_s * self.control.slow
+        run.progress.set()
 
-    def _store(self, blocks: tuple[int, ...]) -> None:
+    def _update_cache(self, blocks: tuple[int, ...]) -> None:
         stored = [block for block in blocks if block not in self.cache]
         for block in blocks:
             self.cache[block] = None
@@ -246,73 +248,73 @@
         if path in ("/v1/chat/completions", "/v1/completions"):
             return self._complete(environ, start)
         if path.startswith("/v1/runs/"):
-            return self._run(method, path[len("/v1/runs/") :], environ, start)
+            return self._serve_run(method, path[len("/v1/runs/") :], environ, start)
         body = environ["wsgi.input"].read()
         if path == "/control" and method == "POST":
             self.engine.control = msgspec.json.decode(body, type=Control)
-            return _json(start, {"ok": True})
+            return json_response(start, {"ok": True})
         if path == "/log":
             rows = {rid: msgspec.to_builtins(row) for rid, row in self.engine.log.items()}
-            return _json(start, rows)
+            return json_response(start, rows)
         if path == "/load":
-            return _json(start, {"running": _load(self.engine)})
+            return json_response(start, {"running": _request_count(self.engine)})
         if path == "/v1/cache/events":
             after = int(parse_qs(environ.get("QUERY_STRING", "")).get("after", ["0"])[0])
             rows_after = [row for row in self.engine.events if row["number"] > after]
-            return _json(start, rows_after)
+            return json_response(start, rows_after)
         if path == "/v1/orders" and method == "POST":
-            applied = self.engine.order(msgspec.json.decode(body, type=LoadOrder))
+            applied = self.engine.apply_order(msgspec.json.decode(body, type=LoadOrder))
             status = "200 OK" if applied else "409 Conflict"
-            return _json(start, {"taken": applied}, status)
+            return json_response(start, {"taken": applied}, status)
         if path == "/v1/state":
-            return _json(start, msgspec.to_builtins(self.engine.state))
+            return json_response(start, msgspec.to_builtins(self.engine.state))
         if path == "/orders":
-            return _json(start, msgspec.to_builtins(self.engine.orders))
+            return json_response(start, msgspec.to_builtins(self.engine.orders))
         start("404 Not Found", [("Content-Length", "0")])
         return iter(())
 
     def _complete(self, environ: dict[str, Any], start: StartResponse) -> Iterator[bytes]:
         body = environ["wsgi.input"].read()
         if self.engine.control.refuse:
-            return _json(start, {"error": "busy"}, "503 Busy")
+            return json_response(start, {"error": "busy"}, "503 Busy")
         try:
             completion = msgspec.json.decode(body, type=Completion)
         except msgspec.MsgspecError as exc:
-            return _json(start, {"error": str(exc)}, "400 Bad Request")
+            return json_response(start, {"error": str(exc)}, "400 Bad Request")
         rid = environ.get("HTTP_X_REQUEST_ID", "")
         priority = int(environ.get("HTTP_X_PRIORITY", "0"))
-        rid = rid or f"probe-{self.engine._order}"
+        rid = rid or f"probe-{self.engine._arrival_number}"
         run = self.engine.submit(rid, priority, completion)
         if completion.stream:
             return self._stream(run, 0, start, direct=not environ.get("HTTP_X_REQUEST_ID"))
-        return self._whole(run, start)
+        return self._respond_at_once(run, start)
 
-    def _run(
+    def _serve_run(
         self, method: str, rid: str, environ: dict[str, Any], start: StartResponse
     ) -> Iterator[bytes]:
         if method == "DELETE":
             known = self.engine.cancel(rid)
-            return _json(start, {"cancelled": known})
+            return json_response(start, {"cancelled": known})
         run = self.engine.runs.get(rid)
-        if run is None or run.cancelled:
-            return _json(start, {"error": "unknown run"}, "404 Not Found")
+        if run is None or run.is_cancelled:
+            return json_response(start, {"error": "unknown run"}, "404 Not Found")
         query = parse_qs(environ.get("QUERY_STRING", ""))
         return self._stream(run, int(query.get("offset", ["0"])[0]), start)
 
-    def _whole(self, run: Run, start: StartResponse) -> Iterator[bytes]:
-        while not run.finished and not run.cancelled:
-            run.wake.wait(1.0)
+    def _respond_at_once(self, run: Run, start: StartResponse) -> Iterator[bytes]:
+        while not run.is_finished and not run.is_cancelled:
+            run.progress.wait(1.0)
         text = "".join(run.token(index) for index in range(run.produced))
         row = self.engine.log[run.rid]
         choice = {"index": 0, "message": {"role": "assistant", "content": text}}
         headers = _work_headers(row)
-        return _json(start, {"id": run.rid, "choices": [choice]}, headers=headers)
+        return json_response(start, {"id": run.rid, "choices": [choice]}, headers=headers)
 
     def _stream(
         self, run: Run, offset: int, start: StartResponse, *, direct: bool = False
     ) -> Iterator[bytes]:
-        while run.produced == 0 and not run.cancelled:
-            run.wake.wait(1.0)
+        while run.produced == 0 and not run.is_cancelled:
+            run.progress.wait(1.0)
         headers = [("Content-Type", "text/event-stream")]
         start("200 OK", headers + _work_headers(self.engine.log[run.rid]))
         return self._events(run, offset, direct)
@@ -320,34 +322,38 @@
     def _events(self, run: Run, next_index: int, direct: bool) -> Iterator[bytes]:
         cut_after = self.engine.control.cut_after
         first_index = next_index
-        while not run.cancelled:
+        while not run.is_cancelled:
             ready = list(range(next_index, run.produced))
             if self.engine.control.reorder:
                 ready.reverse()
-            if cut_after and run.produced - first_index >= cut_after and not run.finished:
+            if (
+                cut_after
+                and run.produced - first_index >= cut_after
+                and not run.is_finished
+            ):
                 self.engine.control.cut_after = 0
                 raise ConnectionResetError
             if ready:
                 next_index = run.produced
-                yield b"".join(self._event(run, index, direct) for index in ready)
-            if run.finished and next_index >= run.output_tokens:
+                yield b"".join(self._encode_event(run, index, direct) for index in ready)
+            if run.is_finished and next_index >= run.output_tokens:
                 break
-            run.wake.wait(1.0)
-        if not run.cancelled:
+            run.progress.wait(1.0)
+        if not run.is_cancelled:
             number = b"" if direct else f"id: {run.output_tokens}\n".encode()
             yield number + b"data: [DONE]\n\n"
 
     @staticmethod
-    def _event(run: Run, index: int, direct: bool) -> bytes:
+    def _encode_event(run: Run, index: int, direct: bool) -> bytes:
         choice = {"index": 0, "delta": {"content": run.token(index)}}
         data = msgspec.json.encode({"id": run.rid, "choices": [choice]})
         number = b"" if direct else f"id: {index}\n".encode()
         return number + b"data: " + data + b"\n\n"
 
 
-def _load(engine: Engine) -> int:
+def _request_count(engine: Engine) -> int:
     """Return the number of requests in the engine, as its load report states it."""
-    return len(engine.queue) + len(engine.decoding) + int(engine._current is not None)
+    return len(engine.queue) + len(engine.decoding) + int(engine._prefilling is not None)
 
 
 def _work_headers(row: LogRow) -> list[tuple[str, str]]:
@@ -357,7 +363,7 @@
     ]
 
 
-def _json(
+def json_response(
     start: StartResponse,
     value: Any,  # noqa: ANN401
     status: str = "200 OK",
@@ -392,7 +398,7 @@
 ) -> None:
     """Run one engine stand-in."""
     engine = Engine(prefill_rate, gap_ms / 1000, batch, cache_blocks)
-    _green.spawn(engine.serve)
+    _green.spawn(engine.run_forever)
     serve(EngineApp(engine), port)
 
 
--- a/dockreach/standin_platform.py
+++ b/dockreach/standin_platform.py
@@ -17,9 +17,9 @@
 
 from . import _green
 from .messages import VmRow
-from .standin_engine import _json, serve
+from .standin_engine import json_response, serve
 
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 
 
 class Admin(msgspec.Struct):
@@ -40,7 +40,7 @@
         self.revision = 0
         self.mode = "up"
         self.calls: dict[str, int] = {}
-        self._lists: list[tuple[float, int, list[VmRow]]] = [(0.0, 0, [])]
+        self._vm_lists: list[tuple[float, int, list[VmRow]]] = [(0.0, 0, [])]
 
     def __call__(
         self, environ: dict[str, Any], start: Callable[..., Any]
@@ -48,23 +48,25 @@
         """Serve one request."""
         path = environ.get("PATH_INFO", "/")
         if path == "/admin":
-            return self._admin(environ["wsgi.input"].read(), start)
+            return self._apply_admin(environ["wsgi.input"].read(), start)
         if path == "/calls":
-            return _json(start, self.calls)
+            return json_response(start, self.calls)
         self.calls[path] = self.calls.get(path, 0) + 1
         if self.mode == "down":
-            return _json(start, {"error": "down"}, "503 Down")
+            return json_response(start, {"error": "down"}, "503 Down")
         if self.mode == "rubbish":
             start("200 OK", [])
             return iter((b"\xff\xfe rubbish",))
         if path == "/v1/config":
-            return self._watch(environ, start)
+            return self._serve_config(environ, start)
         if path == "/v1/vms":
-            _, version, rows = self._visible()
-            return _json(start, {"version": version, "vms": msgspec.to_builtins(rows)})
-        return _json(start, {"error": "not found"}, "404 Not Found")
+            _, version, rows = self._visible_vm_list()
+            return json_response(
+                start, {"version": version, "vms": msgspec.to_builtins(rows)}
+            )
+        return json_response(start, {"error": "not found"}, "404 Not Found")
 
-    def _admin(self, body: bytes, start: Callable[..., Any]) -> Iterator[bytes]:
+    def _apply_admin(self, body: bytes, start: Callable[..., Any]) -> Iterator[bytes]:
         admin = msgspec.json.decode(body, type=Admin)
         if admin.config is not None:
             self.config = admin.config
@@ -73,17 +75,19 @@
         if admin.mode is not None:
             self.mode = admin.mode
         if admin.vms is not None:
-            version = self._lists[-1][1] + 1
-            self._lists.append((time.monotonic() + self.lag_s, version, admin.vms))
-        return _json(start, {"ok": True})
+            version = self._vm_lists[-1][1] + 1
+            self._vm_lists.append((time.monotonic() + self.lag_s, version, admin.vms))
+        return json_response(start, {"ok": True})
 
-    def _visible(self) -> tuple[float, int, list[VmRow]]:
+    def _visible_vm_list(self) -> tuple[float, int, list[VmRow]]:
         now = time.monotonic()
-        while len(self._lists) > 1 and self._lists[1][0] <= now:
-            self._lists.pop(0)
-        return self._lists[0]
+        while len(self._vm_lists) > 1 and self._vm_lists[1][0] <= now:
+            self._vm_lists.pop(0)
+        return self._vm_lists[0]
 
-    def _watch(self, environ: dict[str, Any], start: Callable[..., Any]) -> Iterator[bytes]:
+    def _serve_config(
+        self, environ: dict[str, Any], start: Callable[..., Any]
+    ) -> Iterator[bytes]:
         query = parse_qs(environ.get("QUERY_STRING", ""))
         after = int(query.get("after", ["0"])[0])
         deadline = time.monotonic() + float(query.get("wait", ["0"])[0])
@@ -91,7 +95,7 @@
             if time.monotonic() >= deadline:
                 start("304 Not Modified", [("Content-Length", "0")])
                 return iter(())
-            _green.sleep(POLL_S)
+            _green.sleep(POLL_INTERVAL_S)
         body = self.config.encode()
         start("200 OK", [("Content-Length", str(len(body)))])
         return iter((body,))
--- a/dockreach/standin_service.py
+++ b/dockreach/standin_service.py
@@ -8,7 +8,7 @@
 import click
 
 from . import _green
-from .standin_engine import _json, serve
+from .standin_engine import json_response, serve
 
 
 class ServiceApp:
@@ -25,7 +25,7 @@
         path = environ.get("PATH_INFO", "/")
         body = environ["wsgi.input"].read()
         if path == "/log":
-            return _json(start, self.log)
+            return json_response(start, self.log)
         rid = environ.get("HTTP_X_REQUEST_ID", "")
         self.log[rid] = self.log.get(rid, 0) + 1
         _green.sleep(self.delay_s)
@@ -35,7 +35,7 @@
             "query": environ.get("QUERY_STRING", ""),
             "body": body.decode(errors="replace"),
         }
-        return _json(start, response)
+        return json_response(start, response)
 
 
 @click.command()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,7 +8,7 @@
 import pytest
 
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
-MOST = 3
+MAX_KNOWN_RED = 3
 """Maximum number of tests that may be listed at once."""
 
 
@@ -20,7 +20,7 @@
     issue: str
 
 
-def _read() -> list[_KnownRed]:
+def _read_known_red() -> list[_KnownRed]:
     """Read the list of known failures.
 
     Raises:
@@ -34,14 +34,14 @@
         if len(parts) != len(_KnownRed._fields) or not all(parts):
             raise pytest.UsageError(f"{KNOWN_RED.name}: not 'test | cause | issue': {line}")
         known.append(_KnownRed(*parts))
-    if len(known) > MOST:
-        raise pytest.UsageError(f"{KNOWN_RED.name}: more than {MOST} tests")
+    if len(known) > MAX_KNOWN_RED:
+        raise pytest.UsageError(f"{KNOWN_RED.name}: more than {MAX_KNOWN_RED} tests")
     return known
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
     """Mark the listed tests as expected failures."""
-    known = {red.test: red for red in _read()}
+    known = {red.test: red for red in _read_known_red()}
     for item in items:
         red = known.get(item.nodeid) or known.get(item.nodeid.partition("[")[0])
         if red is not None:
@@ -52,7 +52,7 @@
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
     """Print the listed tests, and whether they pass now."""
     passing = {report.nodeid for report in terminalreporter.stats.get("xpassed", [])}
-    for red in _read():
+    for red in _read_known_red():
         names = {name for name in passing if name.partition("[")[0] == red.test}
         note = (
             "passes now, remove it from the list"
--- a/tests/cores.py
+++ b/tests/cores.py
@@ -33,7 +33,7 @@
 from dockreach.prefix import PrefixIndex
 
 
-def declared(endpoints: int, entries: int = 1, extra: str = "") -> Declarations:
+def parse_declarations(endpoints: int, entries: int = 1, extra: str = "") -> Declarations:
     """Return declarations of one pool with a number of endpoints."""
     names = ", ".join(f"n{index}" for index in range(entries))
     parts = [f"[fleet]\nrevision=1\nentries={names}\n[pool p]"]
@@ -45,7 +45,7 @@
     return parse("\n".join(parts))
 
 
-def admit(rid: str, *, tier: int = 0, key: bool = False, deadline: float = 10) -> Admit:
+def new_admit(rid: str, *, tier: int = 0, key: bool = False, deadline: float = 10) -> Admit:
     """Return a small request."""
     return Admit(
         rid=rid,
@@ -67,21 +67,21 @@
 
 
 @dataclass
-class Net:
+class SimulatedNetwork:
     """Entries and agents that exchange messages in rounds over links that can be cut."""
 
     entries: dict[str, EntryWorld]
     agents: dict[str, AgentWorld]
     now: float = 0.0
     inboxes: dict[str, list[tuple[str, object]]] = field(default_factory=dict)
-    cut: set[frozenset[str]] = field(default_factory=set)
-    frozen: set[str] = field(default_factory=set)
+    cut_links: set[frozenset[str]] = field(default_factory=set)
+    paused: set[str] = field(default_factory=set)
     dispatched: list[tuple[str, str]] = field(default_factory=list)
     lookups: list[tuple[str, ResumeRun]] = field(default_factory=list)
-    trace: list[tuple[str, str, AnyMessage]] = field(default_factory=list)
+    sent_messages: list[tuple[str, str, AnyMessage]] = field(default_factory=list)
     incarnation: int = 1
 
-    def put(self, node: str, message: object, peer: str = "") -> None:
+    def deliver(self, node: str, message: object, peer: str = "") -> None:
         """Put a message into a node's inbox."""
         self.inboxes.setdefault(node, []).append((peer, message))
 
@@ -90,20 +90,20 @@
         self.now += seconds
         sent: list[tuple[str, str, AnyMessage]] = []
         for name, agent_world in self.agents.items():
-            if name in self.frozen:
+            if name in self.paused:
                 continue
-            agent_output = agent.tick(agent_world, self._inbox(name), self.now)
+            agent_output = agent.tick(agent_world, self._take_inbox(name), self.now)
             sent += [(name, to, message) for to, message in agent_output.messages]
-            self._act(name, agent_output.actions)
+            self._record_actions(name, agent_output.actions)
         for name, entry_world in self.entries.items():
-            if name in self.frozen:
+            if name in self.paused:
                 continue
-            output = entry.tick(entry_world, self._inbox(name), self.now)
+            output = entry.tick(entry_world, self._take_inbox(name), self.now)
             sent += [(name, to, message) for to, message in output.messages]
         for source, target, message in sent:
-            self.trace.append((source, target, message))
-            if frozenset((source, target)) not in self.cut:
-                self.put(target, message, source)
+            self.sent_messages.append((source, target, message))
+            if frozenset((source, target)) not in self.cut_links:
+                self.deliver(target, message, source)
 
     def steps(self, count: int, seconds: float = 0.005) -> None:
         """Run several steps."""
@@ -117,28 +117,28 @@
                 self.link(entry_name, agent_name)
             for other in self.entries:
                 if other != entry_name:
-                    self.put(entry_name, EntryUp(1, 1000.0), other)
+                    self.deliver(entry_name, EntryUp(1, 1000.0), other)
 
     def link(self, entry_name: str, agent_name: str) -> None:
         """Establish a link between an entry and an agent."""
-        self.cut.discard(frozenset((entry_name, agent_name)))
+        self.cut_links.discard(frozenset((entry_name, agent_name)))
         up = AgentUp("h", self.agents[agent_name].incarnation, 1000.0)
-        self.put(entry_name, up, agent_name)
-        self.put(agent_name, PeerUp("entry", 1, 1000.0), entry_name)
+        self.deliver(entry_name, up, agent_name)
+        self.deliver(agent_name, PeerUp("entry", 1, 1000.0), entry_name)
 
     def unlink(self, entry_name: str, agent_name: str) -> None:
         """Cut a link: both ends are notified, and messages in transit are lost."""
-        self.cut.add(frozenset((entry_name, agent_name)))
-        self._lose(entry_name, agent_name)
-        self._lose(agent_name, entry_name)
-        self.put(entry_name, AgentDown(), agent_name)
-        self.put(agent_name, PeerDown(), entry_name)
+        self.cut_links.add(frozenset((entry_name, agent_name)))
+        self._discard_messages(entry_name, agent_name)
+        self._discard_messages(agent_name, entry_name)
+        self.deliver(entry_name, AgentDown(), agent_name)
+        self.deliver(agent_name, PeerDown(), entry_name)
 
     def restart_agent(self, name: str) -> None:
         """Replace an agent by a new incarnation without any state."""
         self.incarnation += 1
         for entry_name in self.entries:
-            self.put(entry_name, AgentDown(), name)
+            self.deliver(entry_name, AgentDown(), name)
         self.inboxes[name] = []
         self.agents[name] = new_agent(name, self.incarnation, self.now)
         for entry_name in self.entries:
@@ -156,7 +156,7 @@
         row = self.entries["n0"].requests.get(rid)
         return row.phase if row else None
 
-    def runs_of(self, rid: str) -> int:
+    def run_count(self, rid: str) -> int:
         """Return how many times a request was dispatched to engines."""
         return sum(1 for _, seen in self.dispatched if seen == rid)
 
@@ -164,18 +164,18 @@
         """Return the commits that entries sent for a request."""
         return [
             message
-            for _, _, message in self.trace
+            for _, _, message in self.sent_messages
             if isinstance(message, Commit) and message.rid == rid
         ]
 
-    def _inbox(self, name: str) -> list[tuple[str, object]]:
+    def _take_inbox(self, name: str) -> list[tuple[str, object]]:
         return self.inboxes.pop(name, [])
 
-    def _lose(self, node: str, peer: str) -> None:
+    def _discard_messages(self, node: str, peer: str) -> None:
         remaining = [item for item in self.inboxes.get(node, []) if item[0] != peer]
         self.inboxes[node] = remaining
 
-    def _act(self, name: str, actions: list[EngineAction]) -> None:
+    def _record_actions(self, name: str, actions: list[EngineAction]) -> None:
         for action in actions:
             if isinstance(action, StartRun):
                 self.dispatched.append((name, action.commit.rid))
@@ -196,9 +196,9 @@
     )
 
 
-def new_net(endpoints: int = 2, entries: int = 1, extra: str = "") -> Net:
+def new_network(endpoints: int = 2, entries: int = 1, extra: str = "") -> SimulatedNetwork:
     """Return a linked network in which the key owners have rebuilt their claims."""
-    declarations = declared(endpoints, entries, extra)
+    declarations = parse_declarations(endpoints, entries, extra)
     entry_worlds = {}
     for index in range(entries):
         name = f"n{index}"
@@ -206,9 +206,9 @@
         world = EntryWorld(name, 1, declarations, limits, EntryPolicy())
         entry_worlds[name] = world
     agents = {f"e{index}": new_agent(f"e{index}", 1, 0.0) for index in range(endpoints)}
-    network = Net(entry_worlds, agents)
+    network = SimulatedNetwork(entry_worlds, agents)
     for name in entry_worlds:
-        network.put(name, Configured(declarations))
+        network.deliver(name, Configured(declarations))
     network.link_all()
     network.steps(2)
     for world_of_agent in agents.values():
--- a/tests/direct/test_replays.py
+++ b/tests/direct/test_replays.py
@@ -5,7 +5,7 @@
 import pytest
 
 from benchmarks.replays.fleet import Replay
-from benchmarks.replays.patterns import PATTERNS, Pattern
+from benchmarks.replays.patterns import PATTERNS, LoadPattern
 
 ENGINES = 8
 MIN_VALUE_FRACTION = 0.95
@@ -14,7 +14,7 @@
 
 
 def replay_value(
-    pattern: Pattern,
+    pattern: LoadPattern,
     entries: int,
     seed: int,
     *,
@@ -27,13 +27,13 @@
         engines=ENGINES,
         seed=seed,
         is_coordinated=not is_independent,
-        loss=loss,
+        loss_fraction=loss,
     )
-    return replay.play().worth
+    return replay.run().value_fraction
 
 
 @pytest.mark.parametrize("pattern", PATTERNS, ids=lambda pattern: pattern.name)
-def test_sixteen_entries_serve_nearly_as_well_as_one(pattern: Pattern) -> None:
+def test_sixteen_entries_serve_nearly_as_well_as_one(pattern: LoadPattern) -> None:
     single_entry = replay_value(pattern, 1, 5)
     assert replay_value(pattern, 16, 5) >= MIN_VALUE_FRACTION * single_entry
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -16,7 +16,7 @@
     wait_until,
 )
 
-LIMITS = "unclear_s = 4\ngrace_s = 20\nretention_s = 60"
+LIMITS_SETTINGS = "unclear_s = 4\ngrace_s = 20\nretention_s = 60"
 
 
 def fleet(engines: int = 2, services: int = 0, **changes: object) -> FleetSpec:
@@ -31,7 +31,7 @@
         organisations=[OrganisationSpec("org", "bulletin, notice, lookup")],
         models={"m": "models"},
         services={"records": "pool=records"} if services else {},
-        limits=LIMITS,
+        limits=LIMITS_SETTINGS,
     )
     for name, value in changes.items():
         setattr(spec, name, value)
@@ -52,7 +52,7 @@
         stream: bool = True,
         headers: dict[str, str] | None = None,
     ) -> None:
-        self._url = f"http://127.0.0.1:{deployment.entries[entry].http}"
+        self._url = f"http://127.0.0.1:{deployment.entries[entry].http_port}"
         self._body = {
             "model": "m",
             "prompt": prompt,
@@ -67,7 +67,7 @@
         self.headers: dict[str, str] = {}
         self.data = b""
         self.error = ""
-        self.ended = False
+        self.is_ended = False
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
 
@@ -88,17 +88,17 @@
                 self.data += chunk
         except (urllib3.exceptions.HTTPError, OSError) as exc:
             self.error = type(exc).__name__
-        self.ended = True
+        self.is_ended = True
 
-    def started(self) -> Caller:
+    def wait_until_started(self) -> Caller:
         """Wait until the first bytes of the response have arrived."""
-        wait_until(lambda: self.data or self.ended, "the first bytes")
+        wait_until(lambda: self.data or self.is_ended, "the first bytes")
         return self
 
-    def end(self) -> Caller:
+    def wait_until_ended(self) -> Caller:
         """Wait until the response has ended."""
         self._thread.join(60.0)
-        assert self.ended, "the response did not end in time"
+        assert self.is_ended, "the response did not end in time"
         return self
 
     @property
@@ -112,7 +112,7 @@
         return str(json.loads(self.data)["error"]["verdict"])
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether every token arrived once and in order, followed by the end marker."""
         events = [part for part in self.data.split(b"\n\n") if part]
         if self.status != 200 or self.error or len(events) != self._tokens + 1:
@@ -123,25 +123,25 @@
         return in_order and events[-1] == b"data: [DONE]"
 
 
-def running(deployment: Deployment, least: int = 1) -> str:
+def wait_for_running_engine(deployment: Deployment, min_runs: int = 1) -> str:
     """Wait until an engine generates enough responses at once; return its name."""
 
     def busy_engines() -> list[str]:
         return [
             name
-            for name, log in deployment.run_log().items()
-            if sum(_open(row) for row in log.values()) >= least
+            for name, log in deployment.run_logs().items()
+            if sum(_is_generating(row) for row in log.values()) >= min_runs
         ]
 
     wait_until(busy_engines, "a run")
     return busy_engines()[0]
 
 
-def _open(row: object) -> bool:
+def _is_generating(row: object) -> bool:
     return isinstance(row, dict) and row["generated"] > 0 and row["ended"] == ""
 
 
-def deployed(spec: FleetSpec) -> Iterator[Deployment]:
+def run_deployment(spec: FleetSpec) -> Iterator[Deployment]:
     """Run a fleet for the duration of a fixture."""
     with Deployment(spec) as deployment:
         yield deployment
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -10,11 +10,11 @@
 
 import click
 
-from .run import soak
+from .cluster import DEFAULT_ENTRIES
+from .run import run_soak
 from .theme import Theme
-from .world import ENTRIES
 
-SIDE_BY_SIDE = 4
+PARALLEL_RUNS = 4
 """Soaks that run at the same time: each has four busy processes."""
 
 
@@ -22,13 +22,23 @@
 @click.option("--seeds", default=8, help="Number of soaks.")
 @click.option("--first", type=int, help="First seed; random if left out.")
 @click.option("--seconds", default=10.0, help="How long faults are injected.")
-@click.option("--entries", default=ENTRIES, help="Entries per soak; many run alone.")
-@click.option("--lives", "theme", flag_value=Theme.LIVES, type=Theme, help="Restarts.")
 @click.option(
-    "--deadly", "theme", flag_value=Theme.DEADLY, type=Theme, help="Crashing requests."
+    "--entries", default=DEFAULT_ENTRIES, help="Entries per soak; many run alone."
 )
+@click.option("--lives", "theme", flag_value=Theme.RESTARTS, type=Theme, help="Restarts.")
 @click.option(
-    "--notices", "theme", flag_value=Theme.NOTICES, type=Theme, help="Status notices."
+    "--deadly",
+    "theme",
+    flag_value=Theme.CRASHING_REQUESTS,
+    type=Theme,
+    help="Crashing requests.",
+)
+@click.option(
+    "--notices",
+    "theme",
+    flag_value=Theme.ENDPOINT_NOTICES,
+    type=Theme,
+    help="Status notices.",
 )
 @click.option("--all", "theme", flag_value=Theme.ALL, type=Theme, help="All three.")
 @click.option("--one", type=int, help="Run only this seed, in this process.")
@@ -48,7 +58,7 @@
     remaining = list(range(start, start + seeds))
     failed = []
     while remaining:
-        count = max(SIDE_BY_SIDE * ENTRIES // entries, 1)
+        count = max(PARALLEL_RUNS * DEFAULT_ENTRIES // entries, 1)
         batch, remaining = remaining[:count], remaining[count:]
         running = [(seed, _spawn(seed, seconds, entries, chosen)) for seed in batch]
         for seed, process in running:
@@ -76,12 +86,14 @@
 
 def _run_one(seed: int, seconds: float, entries: int, theme: Theme) -> int:
     with tempfile.TemporaryDirectory() as folder:
-        result = soak(seed, seconds, Path(folder), entries, theme=theme)
-    stalled = f", own process stalled for {result.late_s:.1f} s" if result.late_s else ""
-    click.echo(f"seed {seed}: {result.served} of {result.asked} requests served{stalled}")
-    if not result.broken:
+        result = run_soak(seed, seconds, Path(folder), entries, theme=theme)
+    stalled = (
+        f", own process stalled for {result.stalled_s:.1f} s" if result.stalled_s else ""
+    )
+    click.echo(f"seed {seed}: {result.served} of {result.sent} requests served{stalled}")
+    if not result.violations:
         return 0
-    for line in [*result.broken, *result.faults, *result.logs]:
+    for line in [*result.violations, *result.faults, *result.logs]:
         click.echo(f"  {line}")
     return 1
 
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -12,39 +12,39 @@
 import h11
 from eventlet.green import socket
 
-WAIT_S = 4.0
+RESPONSE_TIMEOUT_S = 4.0
 """How long a caller waits for a response, in seconds."""
 
-PAUSE_S = 0.1
+MAX_PAUSE_S = 0.1
 """Longest pause of a caller between requests, in seconds."""
 
-LEAVING = 0.08
+ABANDONED_FRACTION = 0.08
 """Fraction of the requests whose callers leave before the response."""
 
-LEAVE_S = 0.3
+MAX_ABANDON_S = 0.3
 """Longest time after which such a caller closes its connection, in seconds."""
 
-HOT_PART = 0.2
+IDENTICAL_FRACTION = 0.2
 """Fraction of the requests with an empty body, where others have distinct bodies."""
 
-DEADLY = b"deadly "
+CRASHING_PREFIX = b"deadly "
 """Prefix of bodies that crash every endpoint that starts to work on them."""
 
-DEADLY_BODIES = 2
-DEADLY_GAP_S = (0.1, 0.8)
+CRASHING_BODIES = 2
+CRASHING_INTERVAL_S = (0.1, 0.8)
 """Shortest and longest time between requests with such a body, in seconds."""
 
-DEADLY_COPIES = (0, 0, 0, 1, 4)
+CRASHING_COPIES = (0, 0, 0, 1, 4)
 """Numbers of extra copies sent at the same moment; one is drawn each time."""
 
-DEADLY_LEAVING = 0.3
+CRASHING_ABANDONED_FRACTION = 0.3
 """Fraction of those requests whose callers leave before the response."""
 
-DEADLY_LEAVE_S = 0.04
+MAX_CRASHING_ABANDON_S = 0.04
 """Longest time after which such a caller leaves, in seconds: the endpoint crashes after
 0.02 s of work."""
 
-KINDS = ("once", "safe", "draft", "brief", "new")
+ROUTE_KINDS = ("once", "safe", "draft", "brief", "new")
 """Kinds of routes; ``new`` stands for one that a recent configuration added."""
 
 
@@ -59,13 +59,13 @@
         sent_at: Monotonic time at which it was sent, in seconds.
         status: Status of the response; 0 if no response head was received.
         is_whole: Whether the response was complete.
-        ended: Monotonic time at which the exchange ended, in seconds.
+        ended_at: Monotonic time at which the exchange ended, in seconds.
         retry_after: The response's Retry-After header; empty if it had none.
-        trouble: The exception that ended the exchange; empty if there was none.
+        error: The exception that ended the exchange; empty if there was none.
         path: The target path, if not that of the route of its kind.
-        patience_s: How long its caller waits, in seconds.
+        timeout_s: How long its caller waits, in seconds.
         abandoned_at: Monotonic time at which its caller left, in seconds; 0 if it did not.
-        is_deadly: Whether its body crashes every endpoint that starts it.
+        is_crashing: Whether its body crashes every endpoint that starts it.
     """
 
     rid: str
@@ -75,19 +75,19 @@
     status: int = 0
     response_body: bytes = b""
     is_whole: bool = False
-    ended: float = 0.0
+    ended_at: float = 0.0
     retry_after: str = ""
-    trouble: str = ""
+    error: str = ""
     path: str = ""
-    patience_s: float = WAIT_S
+    timeout_s: float = RESPONSE_TIMEOUT_S
     abandoned_at: float = 0.0
-    sent_body: bytes = b""
-    is_deadly: bool = False
+    request_body: bytes = b""
+    is_crashing: bool = False
 
     @property
-    def left_early(self) -> bool:
+    def is_abandoned_early(self) -> bool:
         """Whether its caller left earlier than `RESPONSE_TIMEOUT_S`."""
-        return bool(self.abandoned_at) and self.patience_s < WAIT_S
+        return bool(self.abandoned_at) and self.timeout_s < RESPONSE_TIMEOUT_S
 
 
 @dataclass(slots=True)
@@ -96,75 +96,77 @@
 
     Attributes:
         addresses: Returns the name and address of each entry.
-        added: Returns the newest configuration version that every entry must have applied.
+        newest_version: Returns the newest configuration version that every entry must have applied.
         rng: Draws the requests.
-        pause_s: Longest pause of a caller between requests, in seconds.
-        is_over: Whether callers stop after their current request.
-        has_bodies: Whether most requests have bodies that differ from each other.
+        max_pause_s: Longest pause of a caller between requests, in seconds.
+        is_stopped: Whether callers stop after their current request.
+        has_distinct_bodies: Whether most requests have bodies that differ from each other.
     """
 
     addresses: Callable[[], list[tuple[str, str]]]
-    added: Callable[[], int]
+    newest_version: Callable[[], int]
     rng: random.Random
-    pause_s: float = PAUSE_S
+    max_pause_s: float = MAX_PAUSE_S
     outcomes: list[Outcome] = field(default_factory=list)
-    is_over: bool = False
-    has_bodies: bool = False
-    _count: int = 0
+    is_stopped: bool = False
+    has_distinct_bodies: bool = False
+    _requests_made: int = 0
 
-    def run_one(self, key: str) -> None:
+    def run_caller(self, key: str) -> None:
         """Send requests as one caller until the soak stops."""
         conn: _Connection | None = None
-        while not self.is_over:
-            eventlet.sleep(self.rng.uniform(0.0, self.pause_s))
+        while not self.is_stopped:
+            eventlet.sleep(self.rng.uniform(0.0, self.max_pause_s))
             if conn is None:
                 entry, address = self.rng.choice(self.addresses())
                 conn = _Connection(entry, address)
-            outcome = self._next(conn.entry)
-            if not conn.ask(outcome, key):
+            outcome = self._next_request(conn.entry)
+            if not conn.exchange(outcome, key):
                 conn.close()
                 conn = None
-            outcome.ended = time.monotonic()
+            outcome.ended_at = time.monotonic()
             self.outcomes.append(outcome)
 
-    def run_deadly(self, key: str, for_s: float) -> None:
+    def run_crashing_requests(self, key: str, for_s: float) -> None:
         """Send requests that crash their endpoints, one body after the other."""
         until = time.monotonic() + for_s
-        bodies = [DEADLY + str(number).encode() for number in range(DEADLY_BODIES)]
+        bodies = [
+            CRASHING_PREFIX + str(number).encode() for number in range(CRASHING_BODIES)
+        ]
         # A separate generator: copies must not change what the seed draws otherwise.
-        copies = random.Random(DEADLY_BODIES)
+        copies = random.Random(CRASHING_BODIES)
         for number, body in enumerate(bodies, start=1):
-            while time.monotonic() < until - for_s * (1 - number / DEADLY_BODIES):
-                for _ in range(copies.choice(DEADLY_COPIES)):
-                    eventlet.spawn(self._ask_deadly, body, key, copies)
-                self._ask_deadly(body, key, self.rng)
-                eventlet.sleep(self.rng.uniform(*DEADLY_GAP_S))
+            while time.monotonic() < until - for_s * (1 - number / CRASHING_BODIES):
+                for _ in range(copies.choice(CRASHING_COPIES)):
+                    eventlet.spawn(self._send_crashing_request, body, key, copies)
+                self._send_crashing_request(body, key, self.rng)
+                eventlet.sleep(self.rng.uniform(*CRASHING_INTERVAL_S))
 
-    def _ask_deadly(self, body: bytes, key: str, rng: random.Random) -> None:
+    def _send_crashing_request(self, body: bytes, key: str, rng: random.Random) -> None:
         entry, address = rng.choice(self.addresses())
-        self._count += 1
-        outcome = Outcome(f"deadly-{self._count}", "draft", entry, time.monotonic())
+        self._requests_made += 1
+        outcome = Outcome(f"deadly-{self._requests_made}", "draft", entry, time.monotonic())
         outcome.path = "/draft/x"
-        outcome.sent_body = body
-        outcome.is_deadly = True
-        if rng.random() < DEADLY_LEAVING:
-            outcome.patience_s = rng.uniform(0.0, DEADLY_LEAVE_S)
+        outcome.request_body = body
+        outcome.is_crashing = True
+        if rng.random() < CRASHING_ABANDONED_FRACTION:
+            outcome.timeout_s = rng.uniform(0.0, MAX_CRASHING_ABANDON_S)
         conn = _Connection(entry, address)
-        conn.ask(outcome, key)
+        conn.exchange(outcome, key)
         conn.close()
-        outcome.ended = time.monotonic()
+        outcome.ended_at = time.monotonic()
         self.outcomes.append(outcome)
 
-    def _next(self, entry: str) -> Outcome:
-        self._count += 1
-        kind = self.rng.choice(KINDS)
-        outcome = Outcome(f"{kind}-{self._count}", kind, entry, time.monotonic())
+    def _next_request(self, entry: str) -> Outcome:
+        self._requests_made += 1
+        kind = self.rng.choice(ROUTE_KINDS)
+        outcome = Outcome(f"{kind}-{self._requests_made}", kind, entry, time.monotonic())
         if kind == "new":
-            outcome.path = f"/new-{self.added()}/x"
-        if self.has_bodies and self.rng.random() > HOT_PART:
-            outcome.sent_body = outcome.rid.encode()
-        if self.rng.random() < LEAVING:
-            outcome.patience_s = self.rng.uniform(0.0, LEAVE_S)
+            outcome.path = f"/new-{self.newest_version()}/x"
+        if self.has_distinct_bodies and self.rng.random() > IDENTICAL_FRACTION:
+            outcome.request_body = outcome.rid.encode()
+        if self.rng.random() < ABANDONED_FRACTION:
+            outcome.timeout_s = self.rng.uniform(0.0, MAX_ABANDON_S)
         return outcome
 
 
@@ -175,23 +177,23 @@
         self._sock: Any = None
         self._http = h11.Connection(h11.CLIENT)
 
-    def ask(self, outcome: Outcome, key: str) -> bool:
+    def exchange(self, outcome: Outcome, key: str) -> bool:
         """Send a request and read its response.
 
         Returns:
             Whether the connection can be used for another request.
         """
         try:
-            with eventlet.Timeout(outcome.patience_s):
-                return self._ask(outcome, key)
+            with eventlet.Timeout(outcome.timeout_s):
+                return self._exchange(outcome, key)
         except eventlet.Timeout as exc:
             outcome.abandoned_at = time.monotonic()
-            outcome.trouble = repr(exc)
+            outcome.error = repr(exc)
         except (OSError, h11.ProtocolError) as exc:
-            outcome.trouble = repr(exc)
+            outcome.error = repr(exc)
         return False
 
-    def _ask(self, outcome: Outcome, key: str) -> bool:
+    def _exchange(self, outcome: Outcome, key: str) -> bool:
         if self._sock is None:
             ip, _, port = self._address.rpartition(":")
             self._sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -202,23 +204,23 @@
             headers=[
                 ("Host", "tools.example"),
                 ("Request-Id", outcome.rid),
-                ("Request-Deadline-Ms", str(int(WAIT_S * 1000) - 500)),
+                ("Request-Deadline-Ms", str(int(RESPONSE_TIMEOUT_S * 1000) - 500)),
                 ("X-Api-Key", key),
                 ("Token-Counts", "16,4"),
-                ("Content-Length", str(len(outcome.sent_body))),
+                ("Content-Length", str(len(outcome.request_body))),
             ],
         )
         data = self._http.send(head) or b""
-        if outcome.sent_body:
-            data += self._http.send(h11.Data(data=outcome.sent_body)) or b""
+        if outcome.request_body:
+            data += self._http.send(h11.Data(data=outcome.request_body)) or b""
         self._sock.sendall(data + (self._http.send(h11.EndOfMessage()) or b""))
-        self._read(outcome)
+        self._read_response(outcome)
         if self._http.our_state is not h11.DONE or self._http.their_state is not h11.DONE:
             return False
         self._http.start_next_cycle()
         return True
 
-    def _read(self, outcome: Outcome) -> None:
+    def _read_response(self, outcome: Outcome) -> None:
         while True:
             event = self._http.next_event()
             if event is h11.NEED_DATA:
--- a/tests/soak/world.py
+++ b/tests/soak/cluster.py
@@ -13,56 +13,56 @@
 
 from .clients import Callers
 from .entries import FRONT_PORT, EntryProcess
-from .promises import COLD_RATE, CONFIG_S, Seen, Span
-from .proxy import Harm, Proxy
+from .invariants import COLD_RATE, CONFIG_APPLY_S, Observations, Span
+from .proxy import LinkFault, Proxy
 from .theme import Theme
-from .workers import Record, Worker
+from .workers import EndpointLog, Worker
 
-ENTRIES = 3
+DEFAULT_ENTRIES = 3
 CALLERS = 12
-MOST_CALLERS = 48
+MAX_CALLERS = 48
 SERVICES = ("work-a", "work-b")
-WORKERS_EACH = 3
+WORKERS_PER_SERVICE = 3
 
-WINDOW_S = 4.0
-LIMIT_RATE = 400.0
-LIMIT_BURST = 400.0
-LIMIT_OVER = 0.25
+QUOTA_WINDOW_S = 4.0
+QUOTA_TOKENS_PER_S = 400.0
+QUOTA_BURST_TOKENS = 400.0
+QUOTA_OVER = 0.25
 """The limited organisation sends more than its quota, which admits about 20 requests of 20
 tokens a second. As on the platform, one request is a small part of a window."""
 
-CHANGES_S = (0.3, 1.2)
+CONFIG_INTERVAL_S = (0.3, 1.2)
 """Shortest and longest time between configurations, in seconds."""
 
-LOOK_S = 0.05
+STALL_POLL_S = 0.05
 """Interval at which this process checks itself for stalls, in seconds."""
 
-LATE_S = 0.25
+MAX_STALL_S = 0.25
 """How long this process may stall before the stall counts as a fault, in seconds: half of
 the shortest time limit of an invariant."""
 
-ADDED_ROUTES = 40
+MAX_ADDED_ROUTES = 40
 """Maximum number of added routes in a configuration; each version adds one."""
 
-HEARTBEATS_S = 1.0
+CRASH_EXPIRY_S = 1.0
 """How long the record of a crashed endpoint stays in the store, in seconds."""
 
-ENDING_S = 2.5
+DRAINING_S = 2.5
 """How long a draining endpoint continues to serve, in seconds."""
 
 HALLS = ("hall1", "hall2")
 
-FIRST_BORN = 1_700_000_000_000
+FIRST_START_MS = 1_700_000_000_000
 """Start time of the first incarnations, in milliseconds."""
 
-DOWN_S = 0.5
+RESTART_DELAY_S = 0.5
 """How long a restarting endpoint is down, in seconds."""
 
 COLD_S = 2.0
 """How long an endpoint is cold after a start, in seconds."""
 
 
-class World:
+class Cluster:
     """All parts of the system under test, and what was observed of them.
 
     Args:
@@ -85,125 +85,139 @@
         self.rng = random.Random(seed)
         self.store = StoreStandIn()
         self.store.page_items = 50
-        self._record = Record()
+        self._endpoint_log = EndpointLog()
         self._version = 0
-        self._workers_made = 0
-        self._entries_written = 0
-        self._emptied: set[str] = set()
+        self._workers_started = 0
+        self._records_written = 0
+        self._evacuated: set[str] = set()
         self.workers: dict[str, Worker] = {}
-        token_limit = (LIMIT_RATE * WINDOW_S + LIMIT_BURST) * (1 + LIMIT_OVER)
-        self.seen = Seen([], self._record, token_limit, WINDOW_S)
+        token_limit = (QUOTA_TOKENS_PER_S * QUOTA_WINDOW_S + QUOTA_BURST_TOKENS) * (
+            1 + QUOTA_OVER
+        )
+        self.observations = Observations(
+            [], self._endpoint_log, token_limit, QUOTA_WINDOW_S
+        )
         self.store_proxies = [Proxy(self.store.address) for _ in range(entries)]
         self.entries = [
             EntryProcess(number, net, proxy.address, folder)
             for number, proxy in enumerate(self.store_proxies)
         ]
-        self.callers_proxies = [Proxy(f"{entry.ip}:{FRONT_PORT}") for entry in self.entries]
-        self.callers = Callers(self._addresses, self._added, random.Random(seed + 1))
-        self.callers.has_bodies = theme.has_bodies
-        self.seen.outcomes = self.callers.outcomes
+        self.caller_proxies = [Proxy(f"{entry.ip}:{FRONT_PORT}") for entry in self.entries]
+        self.callers = Callers(
+            self._addresses, self._newest_applied_version, random.Random(seed + 1)
+        )
+        self.callers.has_distinct_bodies = theme.has_distinct_bodies
+        self.observations.outcomes = self.callers.outcomes
 
     def start(self) -> None:
         """Start everything except the callers."""
-        self.configure()
+        self.publish_configuration()
         for service in SERVICES:
-            for _ in range(WORKERS_EACH):
+            for _ in range(WORKERS_PER_SERVICE):
                 self.add_worker(service)
         for entry in self.entries:
             entry.start()
-        eventlet.spawn(self._look_after_entries)
+        eventlet.spawn(self._restart_exited_entries)
 
-    def call(self) -> None:
+    def start_callers(self) -> None:
         """Start the callers."""
-        eventlet.spawn(self._operate)
-        eventlet.spawn(self._watch_itself)
+        eventlet.spawn(self._publish_configurations)
+        eventlet.spawn(self._record_stalls)
         # The number of endpoints does not grow: with more callers, each sends less often.
-        callers = min(max(CALLERS, len(self.entries)), MOST_CALLERS)
-        self.callers.pause_s *= callers / CALLERS
+        callers = min(max(CALLERS, len(self.entries)), MAX_CALLERS)
+        self.callers.max_pause_s *= callers / CALLERS
         for number in range(callers):
             key = "key-limited" if number % 3 == 0 else "key-free"
-            eventlet.spawn(self.callers.run_one, key)
+            eventlet.spawn(self.callers.run_caller, key)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Stop everything that was started."""
-        self.callers.is_over = True
+        self.callers.is_stopped = True
         for entry in self.entries:
-            entry.end()
+            entry.stop()
         for entry in self.entries:
-            self.seen.unplanned += [f"{entry.name}: {code}" for code in entry.unplanned]
-            self.seen.faults += [f"{entry.name}: {line}" for line in entry.faults()]
+            self.observations.unexpected_exits += [
+                f"{entry.name}: {code}" for code in entry.unexpected_exits
+            ]
+            self.observations.internal_errors += [
+                f"{entry.name}: {line}" for line in entry.internal_errors()
+            ]
 
     def _addresses(self) -> list[tuple[str, str]]:
-        pairs = zip(self.entries, self.callers_proxies, strict=True)
+        pairs = zip(self.entries, self.caller_proxies, strict=True)
         return [(entry.name, proxy.address) for entry, proxy in pairs]
 
-    def _added(self) -> int:
+    def _newest_applied_version(self) -> int:
         """Return the newest version that every entry must have applied."""
-        latest = time.monotonic() - CONFIG_S
-        return max(sum(when <= latest for when, _ in self.seen.routed), 1)
+        latest = time.monotonic() - CONFIG_APPLY_S
+        return max(sum(when <= latest for when, _ in self.observations.route_changes), 1)
 
-    def _look_after_entries(self) -> None:
+    def _restart_exited_entries(self) -> None:
         """Restart entries that exited, as the platform does."""
-        while not self.callers.is_over:
+        while not self.callers.is_stopped:
             eventlet.sleep(0.2)
             for entry in self.entries:
-                entry.look()
+                entry.restart_if_exited()
 
     # Actions of the operator and of endpoints.
 
-    def configure(self) -> None:
+    def publish_configuration(self) -> None:
         """Publish the next configuration; it moves the plain route to the other service."""
         self._version += 1
         service = SERVICES[self._version % len(SERVICES)]
-        content = _configuration(self._version, service, has_lives=self.theme.has_lives)
+        content = _configuration(
+            self._version, service, has_restarts=self.theme.has_restarts
+        )
         text = json.dumps(content).encode()
         self.store.put("op/config", text)
-        self.seen.routed.append((time.monotonic(), service))
+        self.observations.route_changes.append((time.monotonic(), service))
 
-    def _operate(self) -> None:
+    def _publish_configurations(self) -> None:
         """Publish configurations regularly, so that one follows soon after each fault."""
-        while not self.callers.is_over:
-            eventlet.sleep(self.rng.uniform(*CHANGES_S))
-            self.configure()
+        while not self.callers.is_stopped:
+            eventlet.sleep(self.rng.uniform(*CONFIG_INTERVAL_S))
+            self.publish_configuration()
 
-    def _watch_itself(self) -> None:
+    def _record_stalls(self) -> None:
         """Record stalls of this process as faults: all traffic passes through it."""
-        while not self.callers.is_over:
+        while not self.callers.is_stopped:
             before = time.monotonic()
-            eventlet.sleep(LOOK_S)
-            stall_s = time.monotonic() - before - LOOK_S
-            if stall_s > LATE_S:
-                self.seen.harms.append(Span("", before, before + LOOK_S + stall_s))
-                self.seen.late_s += stall_s
+            eventlet.sleep(STALL_POLL_S)
+            stall_s = time.monotonic() - before - STALL_POLL_S
+            if stall_s > MAX_STALL_S:
+                self.observations.disruptions.append(
+                    Span("", before, before + STALL_POLL_S + stall_s)
+                )
+                self.observations.stalled_s += stall_s
 
     def add_worker(self, service: str) -> None:
         """Start an endpoint and publish it."""
-        self._workers_made += 1
-        name = f"i-{self._workers_made}"
-        number = self._workers_made if self.theme.has_lives else 0
+        self._workers_started += 1
+        name = f"i-{self._workers_started}"
+        number = self._workers_started if self.theme.has_restarts else 0
         self._start_worker(
             Worker(
                 name,
                 service,
-                self._record,
+                self._endpoint_log,
                 self.rng,
                 hall=HALLS[number % len(HALLS)],
-                born=FIRST_BORN if self.theme.has_lives else 0,
+                born=FIRST_START_MS if self.theme.has_restarts else 0,
             )
         )
 
     def _start_worker(self, worker: Worker, *, cold_s: float = 0.0) -> None:
-        if self.theme.has_deadly:
-            worker.on_deadly = self._end_under
+        if self.theme.has_crashing_requests:
+            worker.on_crashing_request = self._crash_once
         self.workers[worker.name] = worker
-        self.seen.halls[worker.name] = worker.hall
+        self.observations.halls[worker.name] = worker.hall
         if cold_s:
             now = time.monotonic()
-            self.seen.cold.append(Span(worker.name, now, now + cold_s))
+            self.observations.cold_spans.append(Span(worker.name, now, now + cold_s))
         self._publish(worker, "ready", cold_s=cold_s)
 
     def _publish(self, worker: Worker, state: str, *, cold_s: float = 0.0) -> None:
-        self._entries_written += 1
+        self._records_written += 1
         record = endpoint_record(
             service=worker.service,
             address=worker.proxy.address,
@@ -211,7 +225,7 @@
             slots=6,
             state=state,
             born=worker.born,
-            sequence=self._entries_written,
+            sequence=self._records_written,
             cold_remaining_ms=cold_s * 1000,
         )
         self.store.put(f"servers/{worker.name}", record)
@@ -221,11 +235,11 @@
         worker = self.workers.pop(name)
         self.add_worker(worker.service)
         self._publish(worker, "draining")
-        self.seen.leaving[name] = time.monotonic()
-        eventlet.sleep(ENDING_S)
+        self.observations.draining_since[name] = time.monotonic()
+        eventlet.sleep(DRAINING_S)
         self.store.delete(f"servers/{name}")
 
-    def _end_under(self, name: str) -> None:
+    def _crash_once(self, name: str) -> None:
         """Crash an endpoint because of a request, unless it already crashed or drains."""
         if name in self.workers:
             self.crash_worker(name)
@@ -233,47 +247,52 @@
     def crash_worker(self, name: str) -> None:
         """Crash an endpoint; its record stays for a while, then another replaces it."""
         worker = self.workers.pop(name)
-        self.harmed("", 1.0, of_engines=True)
+        self.record_disruption("", 1.0, is_engine_fault=True)
         worker.crash()
-        eventlet.sleep(HEARTBEATS_S)
+        eventlet.sleep(CRASH_EXPIRY_S)
         self.store.delete(f"servers/{name}")
         self.add_worker(worker.service)
 
-    def restart_worker(self, name: str, *, is_dark: bool) -> None:
+    def restart_worker(self, name: str, *, is_silent: bool) -> None:
         """Stop an endpoint abruptly and restart it, cold, under the same id.
 
         Args:
             name: The endpoint's id.
-            is_dark: Whether its connections fall silent instead of being reset.
+            is_silent: Whether its connections fall silent instead of being reset.
         """
         old = self.workers.pop(name)
-        self.harmed("", 1.0)
-        if is_dark:
-            old.go_dark()
+        self.record_disruption("", 1.0)
+        if is_silent:
+            old.go_silent()
         else:
             old.crash()
-        eventlet.sleep(DOWN_S)
+        eventlet.sleep(RESTART_DELAY_S)
         new = Worker(
-            name, old.service, self._record, self.rng, hall=old.hall, born=old.born + 1000
+            name,
+            old.service,
+            self._endpoint_log,
+            self.rng,
+            hall=old.hall,
+            born=old.born + 1000,
         )
         self._start_worker(new, cold_s=COLD_S)
         eventlet.sleep(COLD_S)
         if self.workers.get(name) is new:
             self._publish(new, "ready")
 
-    def empty_hall(self, hall: str, for_s: float) -> None:
+    def evacuate_hall(self, hall: str, for_s: float) -> None:
         """Evacuate a data hall for a while, unless it is already evacuated."""
-        if hall in self._emptied:
+        if hall in self._evacuated:
             return
-        self._emptied.add(hall)
+        self._evacuated.add(hall)
         start = time.monotonic()
         self.store.put(f"op/evacuate/{hall}", b"{}")
         eventlet.sleep(for_s)
-        self.seen.emptied.append(Span(hall, start, time.monotonic()))
+        self.observations.evacuations.append(Span(hall, start, time.monotonic()))
         self.store.delete(f"op/evacuate/{hall}")
-        self._emptied.remove(hall)
+        self._evacuated.remove(hall)
 
-    def spoil_entry(self, name: str, value: bytes, for_s: float) -> None:
+    def corrupt_record(self, name: str, value: bytes, for_s: float) -> None:
         """Overwrite an endpoint's record with a wrong value for a while."""
         worker = self.workers[name]
         self.store.put(f"servers/{name}", value)
@@ -283,51 +302,53 @@
 
     # Records for the checks of invariants.
 
-    def harmed(self, entry: str, for_s: float, *, of_engines: bool = False) -> None:
+    def record_disruption(
+        self, entry: str, for_s: float, *, is_engine_fault: bool = False
+    ) -> None:
         """Record that an entry may cut responses; an empty name stands for all entries."""
         now = time.monotonic()
-        self.seen.harms.append(Span(entry, now, now + for_s, of_engines))
+        self.observations.disruptions.append(Span(entry, now, now + for_s, is_engine_fault))
 
-    def harm_store(self, for_s: float) -> None:
+    def record_store_fault(self, for_s: float) -> None:
         """Record a fault of the store or of connections to it."""
         now = time.monotonic()
-        self.seen.store.append(Span("store", now, now + for_s))
+        self.observations.store_faults.append(Span("store", now, now + for_s))
 
-    def stopped(self, entry: str, for_s: float) -> None:
+    def record_planned_stop(self, entry: str, for_s: float) -> None:
         """Record that an entry was asked to stop."""
         now = time.monotonic()
-        self.seen.stops.append(Span(entry, now, now + for_s))
+        self.observations.planned_stops.append(Span(entry, now, now + for_s))
 
-    def mend(self) -> None:
+    def clear_faults(self) -> None:
         """End every fault of connections, endpoints and the store."""
-        for proxy in self.store_proxies + self.callers_proxies:
-            proxy.harm(Harm.NONE)
+        for proxy in self.store_proxies + self.caller_proxies:
+            proxy.set_fault(LinkFault.NONE)
         for worker in self.workers.values():
-            worker.proxy.harm(Harm.NONE)
-            worker.failing = 0.0
-            worker.slowness = 1.0
+            worker.proxy.set_fault(LinkFault.NONE)
+            worker.failure_fraction = 0.0
+            worker.slowdown = 1.0
         self.store.failure_mode = ""
 
 
-def _configuration(version: int, service: str, *, has_lives: bool) -> dict[str, object]:
+def _configuration(version: int, service: str, *, has_restarts: bool) -> dict[str, object]:
     routes = [
         _route("once", "unsafe", service),
         _route("safe", "safe", SERVICES[0], max_attempts=2),
         _route("draft", "streaming", SERVICES[0]),
         _route("brief", "streaming", SERVICES[1], max_attempts=2, resumable=True),
     ]
-    added = range(max(version - ADDED_ROUTES, 0) + 1, version + 1)
+    added = range(max(version - MAX_ADDED_ROUTES, 0) + 1, version + 1)
     routes += [_route(f"new-{number}", "safe", SERVICES[0]) for number in added]
     tenants = [
         {"name": "free", "api_keys": ["key-free"]},
         {
             "name": "limited",
             "api_keys": ["key-limited"],
-            "rate_per_s": LIMIT_RATE,
-            "burst": LIMIT_BURST,
+            "rate_per_s": QUOTA_TOKENS_PER_S,
+            "burst": QUOTA_BURST_TOKENS,
         },
     ]
-    cold = {"cold_start_s": COLD_S, "cold_per_s": COLD_RATE} if has_lives else {}
+    cold = {"cold_start_s": COLD_S, "cold_per_s": COLD_RATE} if has_restarts else {}
     services = [{"name": name, "max_connections": 200, **cold} for name in SERVICES]
     return {"version": version, "routes": routes, "services": services, "tenants": tenants}
 
--- a/tests/soak/entries.py
+++ b/tests/soak/entries.py
@@ -15,7 +15,7 @@
 
 from dockreach.events import Event
 
-from .promises import COLD_OVER, COLD_SLACK, EMPTY_S
+from .invariants import COLD_OVER, COLD_SLACK, EVACUATION_S
 
 ROOT = Path(__file__).resolve().parents[2]
 GRACE_S = 8.0
@@ -28,7 +28,7 @@
 
 INTERNAL_ERROR = f'"event": {int(Event.INTERNAL_ERROR)},'
 
-NETS = range(40, 240)
+LOOPBACK_NETS = range(40, 240)
 """Values of the second byte of the loopback addresses that soaks may use."""
 
 
@@ -39,19 +39,19 @@
     Raises:
         OSError: All of them are in use.
     """
-    first = os.getpid() % len(NETS)
-    nets: list[int] = [*NETS[first:], *NETS[:first]]
+    first = os.getpid() % len(LOOPBACK_NETS)
+    nets: list[int] = [*LOOPBACK_NETS[first:], *LOOPBACK_NETS[:first]]
     for net in nets:
         with socket.socket() as sock:
             # No program listens on the control port here: holding it marks the addresses as
             # used.
-            if _binds(sock, net):
+            if _can_bind(sock, net):
                 yield net
                 return
     raise OSError("no loopback addresses are free")
 
 
-def _binds(sock: socket.socket, net: int) -> bool:
+def _can_bind(sock: socket.socket, net: int) -> bool:
     try:
         sock.bind((f"127.{net}.0.1", CONTROL_PORT))
     except OSError:
@@ -65,23 +65,23 @@
     Attributes:
         name: The name of the entry.
         ip: Its own loopback address.
-        unplanned: Exit codes of exits that no signal from the soak caused.
+        unexpected_exits: Exit codes of exits that no signal from the soak caused.
     """
 
     def __init__(self, number: int, net: int, store: str, folder: Path) -> None:
         self.name = f"entry-{number}"
         self.ip = f"127.{net}.0.{number + 1}"
-        self._store = store
+        self._store_address = store
         self._seeds = [f"127.{net}.0.{other + 1}:{CONTROL_PORT}" for other in range(3)]
-        self._settings = folder / f"{self.name}.json"
-        self._log = folder / f"{self.name}.log"
+        self._settings_path = folder / f"{self.name}.json"
+        self._log_path = folder / f"{self.name}.log"
         self._process: subprocess.Popen[bytes] | None = None
         self._starts = 0
-        self._is_meant_to_end = False
-        self.unplanned: list[int] = []
+        self._is_exit_expected = False
+        self.unexpected_exits: list[int] = []
 
     @property
-    def front(self) -> tuple[str, int]:
+    def callers_address(self) -> tuple[str, int]:
         """IP address and port to which callers connect."""
         return self.ip, FRONT_PORT
 
@@ -94,15 +94,15 @@
     def is_listening(self) -> bool:
         """Whether callers can connect; the program's first lines have run by then."""
         with socket.socket() as sock:
-            return sock.connect_ex(self.front) == 0
+            return sock.connect_ex(self.callers_address) == 0
 
     def write_settings(self) -> None:
         """Replace the settings file."""
-        new = self._settings.with_suffix(".new")
-        new.write_text(json.dumps(self._fields()))
-        new.replace(self._settings)
+        new = self._settings_path.with_suffix(".new")
+        new.write_text(json.dumps(self._settings_fields()))
+        new.replace(self._settings_path)
 
-    def _fields(self) -> dict[str, Any]:
+    def _settings_fields(self) -> dict[str, Any]:
         return {
             "node_name": self.name,
             "ip": self.ip,
@@ -118,64 +118,64 @@
                 "grace_period_s": GRACE_S,
                 "quota_window_s": 4,
                 "quota_over": 0.25,
-                "evac_ms": EMPTY_S * 1000,
+                "evac_ms": EVACUATION_S * 1000,
                 "cold_over": COLD_OVER,
                 "cold_slack": COLD_SLACK,
             },
-            "platform": {"address": self._store},
+            "platform": {"address": self._store_address},
         }
 
     def start(self) -> None:
         """Start the process."""
         self.write_settings()
         self._starts += 1
-        self._is_meant_to_end = False
-        with self._log.open("ab") as log:
+        self._is_exit_expected = False
+        with self._log_path.open("ab") as log:
             self._process = subprocess.Popen(
                 [sys.executable, str(ROOT / "platform" / "main.py")],
                 env={
                     "PATH": os.environ["PATH"],
-                    "DOCKREACH_CONFIG": str(self._settings),
+                    "DOCKREACH_CONFIG": str(self._settings_path),
                     "EVENTLET_NO_GREENDNS": "yes",
                 },
                 stdout=log,
                 stderr=log,
             )
 
-    def send(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Send a signal, if the process runs."""
         if not self.is_running or self._process is None:
             return
         if number in (signal.SIGTERM, signal.SIGKILL):
-            self._is_meant_to_end = True
+            self._is_exit_expected = True
         self._process.send_signal(number)
 
-    def look(self) -> None:
+    def restart_if_exited(self) -> None:
         """Start the process again if it exited; record the exit if it was unexpected."""
         if self._process is None or self.is_running:
             return
-        if not self._is_meant_to_end:
-            self.unplanned.append(self._process.returncode)
+        if not self._is_exit_expected:
+            self.unexpected_exits.append(self._process.returncode)
         self.start()
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Kill the process and do not start it again."""
         if self._process is None:
             return
-        self.send(signal.SIGCONT)
-        self.send(signal.SIGKILL)
+        self.send_signal(signal.SIGCONT)
+        self.send_signal(signal.SIGKILL)
         self._process.wait()
         self._process = None
 
-    def faults(self) -> list[str]:
+    def internal_errors(self) -> list[str]:
         """Return the log lines that report internal errors."""
-        if not self._log.exists():
+        if not self._log_path.exists():
             return []
-        lines = self._log.read_text(errors="replace").splitlines()
+        lines = self._log_path.read_text(errors="replace").splitlines()
         return [line for line in lines if INTERNAL_ERROR in line]
 
-    def tail(self, lines: int = 12) -> str:
+    def log_tail(self, lines: int = 12) -> str:
         """Return the last lines of the log."""
-        if not self._log.exists():
+        if not self._log_path.exists():
             return ""
-        return "\n".join(self._log.read_text(errors="replace").splitlines()[-lines:])
+        return "\n".join(self._log_path.read_text(errors="replace").splitlines()[-lines:])
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -14,19 +14,19 @@
 
 from tests.platform.store_standin import endpoint_record
 
-from .clients import WAIT_S
+from .clients import RESPONSE_TIMEOUT_S
+from .cluster import HALLS, Cluster
 from .entries import GRACE_S, EntryProcess
-from .proxy import Harm
+from .proxy import LinkFault
 from .theme import Theme
-from .world import HALLS, World
 
-Fault = Callable[[World], None]
+Fault = Callable[[Cluster], None]
 
-AFTER_S = 1.5
+AFTERMATH_S = 1.5
 """How long after a fault of an entry its responses may still be cut, in seconds: it is
 restarted within 0.2 s and needs up to a second on a busy machine."""
 
-AWAY_S = 0.05
+POLL_S = 0.05
 """Interval between checks for an endpoint while none runs, in seconds."""
 
 SIGNALS = (
@@ -38,176 +38,176 @@
 )
 
 
-def _entry(cluster: World) -> EntryProcess:
+def _entry(cluster: Cluster) -> EntryProcess:
     return cluster.rng.choice(cluster.entries)
 
 
-def _worker_name(cluster: World) -> str:
+def _worker_name(cluster: Cluster) -> str:
     """Draw an endpoint; wait for one if consecutive crashes left none."""
     while not cluster.workers:
-        eventlet.sleep(AWAY_S)
+        eventlet.sleep(POLL_S)
     return cluster.rng.choice(sorted(cluster.workers))
 
 
-def _kill(cluster: World) -> None:
+def _kill(cluster: Cluster) -> None:
     entry = _entry(cluster)
-    cluster.harmed(entry.name, AFTER_S)
-    entry.send(signal.SIGKILL)
+    cluster.record_disruption(entry.name, AFTERMATH_S)
+    entry.send_signal(signal.SIGKILL)
 
 
-def _kill_all(cluster: World) -> None:
-    cluster.harmed("", AFTER_S)
+def _kill_all(cluster: Cluster) -> None:
+    cluster.record_disruption("", AFTERMATH_S)
     for entry in cluster.entries:
-        entry.send(signal.SIGKILL)
+        entry.send_signal(signal.SIGKILL)
 
 
-def _stop(cluster: World) -> None:
+def _stop(cluster: Cluster) -> None:
     entry = _entry(cluster)
-    cluster.stopped(entry.name, GRACE_S)
-    entry.send(signal.SIGTERM)
+    cluster.record_planned_stop(entry.name, GRACE_S)
+    entry.send_signal(signal.SIGTERM)
 
 
-def _pause(cluster: World) -> None:
+def _pause(cluster: Cluster) -> None:
     entry = _entry(cluster)
     for_s = cluster.rng.uniform(0.2, 2.0)
-    cluster.harmed(entry.name, for_s + AFTER_S)
-    entry.send(signal.SIGSTOP)
+    cluster.record_disruption(entry.name, for_s + AFTERMATH_S)
+    entry.send_signal(signal.SIGSTOP)
     eventlet.sleep(for_s)
-    entry.send(signal.SIGCONT)
+    entry.send_signal(signal.SIGCONT)
 
 
-def _change_settings(cluster: World) -> None:
+def _change_settings(cluster: Cluster) -> None:
     entry = _entry(cluster)
     entry.write_settings()
     # SIGHUP ends the process until the interpreter has run the program's first lines. The
     # program reads the settings file after that, so it needs no signal before.
     if entry.is_listening:
-        entry.send(signal.SIGHUP)
+        entry.send_signal(signal.SIGHUP)
 
 
-def _configure(cluster: World) -> None:
+def _configure(cluster: Cluster) -> None:
     for _ in range(cluster.rng.randint(1, 4)):
-        cluster.configure()
+        cluster.publish_configuration()
         eventlet.sleep(cluster.rng.uniform(0.0, 0.5))
 
 
-def _replace_worker(cluster: World) -> None:
+def _replace_worker(cluster: Cluster) -> None:
     cluster.replace_worker(_worker_name(cluster))
 
 
-def _crash_worker(cluster: World) -> None:
+def _crash_worker(cluster: Cluster) -> None:
     cluster.crash_worker(_worker_name(cluster))
 
 
-def _sick_worker(cluster: World) -> None:
+def _sick_worker(cluster: Cluster) -> None:
     worker = cluster.workers[_worker_name(cluster)]
-    worker.failing = cluster.rng.choice((0.0, 0.3))
-    worker.slowness = cluster.rng.choice((1.0, 8.0))
+    worker.failure_fraction = cluster.rng.choice((0.0, 0.3))
+    worker.slowdown = cluster.rng.choice((1.0, 8.0))
     eventlet.sleep(2.0)
-    worker.failing = 0.0
-    worker.slowness = 1.0
+    worker.failure_fraction = 0.0
+    worker.slowdown = 1.0
 
 
-def _harm_worker(cluster: World) -> None:
+def _harm_worker(cluster: Cluster) -> None:
     worker = cluster.workers[_worker_name(cluster)]
     for_s = cluster.rng.uniform(0.3, 2.0)
-    cluster.harmed("", for_s + AFTER_S)
-    worker.proxy.harm(_any_harm(cluster))
+    cluster.record_disruption("", for_s + AFTERMATH_S)
+    worker.proxy.set_fault(_any_harm(cluster))
     eventlet.sleep(for_s)
-    worker.proxy.harm(Harm.NONE)
+    worker.proxy.set_fault(LinkFault.NONE)
 
 
-def _harm_callers(cluster: World) -> None:
+def _harm_callers(cluster: Cluster) -> None:
     number = cluster.rng.randrange(len(cluster.entries))
     for_s = cluster.rng.uniform(0.3, 1.5)
-    cluster.harmed(cluster.entries[number].name, for_s + AFTER_S)
-    cluster.callers_proxies[number].harm(_any_harm(cluster))
+    cluster.record_disruption(cluster.entries[number].name, for_s + AFTERMATH_S)
+    cluster.caller_proxies[number].set_fault(_any_harm(cluster))
     eventlet.sleep(for_s)
-    cluster.callers_proxies[number].harm(Harm.NONE)
+    cluster.caller_proxies[number].set_fault(LinkFault.NONE)
 
 
-def _harm_store_link(cluster: World) -> None:
+def _harm_store_link(cluster: Cluster) -> None:
     proxy = cluster.rng.choice(cluster.store_proxies)
     for_s = cluster.rng.uniform(0.5, 3.0)
-    cluster.harm_store(for_s)
-    proxy.harm(_any_harm(cluster))
+    cluster.record_store_fault(for_s)
+    proxy.set_fault(_any_harm(cluster))
     eventlet.sleep(for_s)
-    proxy.harm(Harm.NONE)
+    proxy.set_fault(LinkFault.NONE)
 
 
-def _harm_store(cluster: World) -> None:
+def _harm_store(cluster: Cluster) -> None:
     for_s = cluster.rng.uniform(0.5, 3.0)
-    cluster.harm_store(for_s)
+    cluster.record_store_fault(for_s)
     cluster.store.failure_mode = cluster.rng.choice((503, 429, "silent", "reset"))
     cluster.store.end_watches()
     eventlet.sleep(for_s)
     cluster.store.failure_mode = ""
 
 
-def _mute_store_links(cluster: World) -> None:
-    cluster.harm_store(0.0)
+def _mute_store_links(cluster: Cluster) -> None:
+    cluster.record_store_fault(0.0)
     for proxy in cluster.store_proxies:
-        proxy.mute()
+        proxy.stall_open_connections()
 
 
-def _mute_workers(cluster: World) -> None:
+def _mute_workers(cluster: Cluster) -> None:
     # Requests in flight are lost, at the latest when their callers time out.
-    cluster.harmed("", WAIT_S)
+    cluster.record_disruption("", RESPONSE_TIMEOUT_S)
     for worker in cluster.workers.values():
-        worker.proxy.mute()
+        worker.proxy.stall_open_connections()
 
 
-def _mute_all(cluster: World) -> None:
+def _mute_all(cluster: Cluster) -> None:
     _mute_store_links(cluster)
     _mute_workers(cluster)
 
 
-def _signals(cluster: World) -> None:
+def _signals(cluster: Cluster) -> None:
     """Send one entry several signals: settings changes, pauses, stops or kills."""
     entry = _entry(cluster)
-    cluster.stopped(entry.name, GRACE_S)
-    cluster.harmed(entry.name, GRACE_S + AFTER_S)
+    cluster.record_planned_stop(entry.name, GRACE_S)
+    cluster.record_disruption(entry.name, GRACE_S + AFTERMATH_S)
     for number in cluster.rng.choices(SIGNALS, k=cluster.rng.randint(2, 5)):
         if entry.is_listening:
-            entry.send(number)
+            entry.send_signal(number)
         eventlet.sleep(cluster.rng.uniform(0.0, 0.4))
-    entry.send(signal.SIGCONT)
+    entry.send_signal(signal.SIGCONT)
 
 
-def _forget_history(cluster: World) -> None:
-    cluster.harm_store(0.5)
+def _forget_history(cluster: Cluster) -> None:
+    cluster.record_store_fault(0.5)
     cluster.store.compact_history()
 
 
-def _restart_worker(cluster: World) -> None:
+def _restart_worker(cluster: Cluster) -> None:
     name = _worker_name(cluster)
-    cluster.restart_worker(name, is_dark=cluster.rng.random() < 0.5)
+    cluster.restart_worker(name, is_silent=cluster.rng.random() < 0.5)
 
 
-def _empty_hall(cluster: World) -> None:
+def _empty_hall(cluster: Cluster) -> None:
     for_s = cluster.rng.choice((0.0, 0.5, 4.0))
-    cluster.empty_hall(cluster.rng.choice(HALLS), for_s)
+    cluster.evacuate_hall(cluster.rng.choice(HALLS), for_s)
 
 
-def _spoil_entry(cluster: World) -> None:
+def _spoil_entry(cluster: Cluster) -> None:
     value = cluster.rng.choice((b"", b"{}", b"\xff", endpoint_record(slots=0)))
-    cluster.spoil_entry(_worker_name(cluster), value, cluster.rng.uniform(0.3, 1.5))
+    cluster.corrupt_record(_worker_name(cluster), value, cluster.rng.uniform(0.3, 1.5))
 
 
-def _any_harm(cluster: World) -> Harm:
-    return cluster.rng.choice([harm for harm in Harm if harm is not Harm.NONE])
+def _any_harm(cluster: Cluster) -> LinkFault:
+    return cluster.rng.choice([harm for harm in LinkFault if harm is not LinkFault.NONE])
 
 
-def _name_limit(cluster: World) -> None:
+def _name_limit(cluster: Cluster) -> None:
     """Let an endpoint advertise a limit for a while, without being slower."""
     worker = cluster.workers[_worker_name(cluster)]
     for_s = cluster.rng.uniform(2.0, 8.0)
-    worker.limit = cluster.rng.choice((0.0, 0.5, 1.0, 2.5, 8.0))
+    worker.limit_per_s = cluster.rng.choice((0.0, 0.5, 1.0, 2.5, 8.0))
     worker.limited_until = time.monotonic() + for_s
     eventlet.sleep(for_s)
 
 
-def _leave_by_word(cluster: World) -> None:
+def _leave_by_word(cluster: Cluster) -> None:
     """Let an endpoint announce that it leaves before the store lists it as draining."""
     worker = cluster.workers[_worker_name(cluster)]
     worker.is_leaving = True
@@ -216,14 +216,14 @@
         cluster.replace_worker(worker.name)
 
 
-def _ask_for_rest(cluster: World) -> None:
+def _ask_for_rest(cluster: Cluster) -> None:
     """Let an endpoint reject requests and ask the entries that sent them to back off."""
     worker = cluster.workers[_worker_name(cluster)]
-    worker.rest_s = cluster.rng.choice((0.0, 0.7, 3.0))
-    worker.turning_away = cluster.rng.choice((0.3, 1.0))
+    worker.backoff_s = cluster.rng.choice((0.0, 0.7, 3.0))
+    worker.rejection_fraction = cluster.rng.choice((0.3, 1.0))
     eventlet.sleep(cluster.rng.uniform(0.5, 4.0))
-    worker.turning_away = 0.0
-    worker.rest_s = 0.0
+    worker.rejection_fraction = 0.0
+    worker.backoff_s = 0.0
 
 
 FAULTS: tuple[Fault, ...] = (
@@ -247,7 +247,7 @@
     _signals,
 )
 
-LIFE_FAULTS: tuple[Fault, ...] = (
+RESTART_FAULTS: tuple[Fault, ...] = (
     _restart_worker,
     _empty_hall,
     _spoil_entry,
@@ -259,7 +259,7 @@
 """Faults of soaks whose endpoints restart under the same ids. A separate list, so that
 seeds of other soaks keep drawing the same faults."""
 
-DEADLY_FAULTS: tuple[Fault, ...] = (
+CRASHING_REQUEST_FAULTS: tuple[Fault, ...] = (
     _kill,
     _kill_all,
     _pause,
@@ -288,10 +288,10 @@
 )
 """Faults of soaks whose endpoints send notices, separate for the same reason."""
 
-THEMES: dict[Theme, tuple[Fault, ...]] = {
-    Theme.LIVES: LIFE_FAULTS,
-    Theme.DEADLY: DEADLY_FAULTS,
-    Theme.NOTICES: NOTICE_FAULTS,
-    Theme.ALL: (*LIFE_FAULTS, *DEADLY_FAULTS, *NOTICE_FAULTS),
+THEME_FAULTS: dict[Theme, tuple[Fault, ...]] = {
+    Theme.RESTARTS: RESTART_FAULTS,
+    Theme.CRASHING_REQUESTS: CRASHING_REQUEST_FAULTS,
+    Theme.ENDPOINT_NOTICES: NOTICE_FAULTS,
+    Theme.ALL: (*RESTART_FAULTS, *CRASHING_REQUEST_FAULTS, *NOTICE_FAULTS),
 }
 """Faults of each theme; a soak without a theme draws some kinds from `FAULTS`."""
