--- /dev/null
+++ b/tests/soak/invariants.py
@@ -0,0 +1,443 @@
+"""Checks the invariants that must hold during faults, on what callers and endpoints saw."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from dataclasses import dataclass, field
+
+from .clients import Outcome
+from .notice_invariants import NoticeChecker
+from .workers import EndpointLog, Run, plain_body, stream_event, stream_length
+
+NOT_RUN_STATUSES = {408, 421, 429, 503}
+"""Statuses that guarantee that the request was not run."""
+
+NOT_FOUND = 404
+
+AT_MOST_ONCE_KINDS = ("once", "draft")
+"""Kinds of routes whose requests must not run more than once."""
+
+DRAIN_S = 2.0
+"""Time after which an endpoint listed as draining receives no more requests, in seconds."""
+
+CONFIG_APPLY_S = 2.0
+"""Time after which every entry has applied a configuration, in seconds."""
+
+TIMEOUT_S = 3.0
+"""The routes' timeout, in seconds: entries end a response that takes longer."""
+
+EVACUATION_S = 2.0
+"""Time after which an evacuated data hall receives no more requests, in seconds."""
+
+COLD_RATE = 12.0
+COLD_OVER = 1.5
+COLD_SLACK = 2.0
+MAX_COLD = COLD_RATE * COLD_OVER + COLD_SLACK
+"""Requests that a cold endpoint may receive in one second, from all entries together."""
+
+CONVERGENCE_S = 3.0
+"""Time without a fault after which invariants with a time limit apply, in seconds."""
+
+MIN_SERVED_FRACTION = 0.95
+"""Fraction of the requests that must be served once all faults have ended."""
+
+SEND_AFTER_ABANDON_S = 0.5
+"""Time after a caller has left in which an entry may still send its request, in seconds."""
+
+WORK_AFTER_ABANDON_S = 1.0
+"""Time after a caller has left in which an endpoint may still work on its request, in
+seconds: a slow endpoint notices at its next event."""
+
+CRASHES_TO_DETECT = 3
+"""Engines that a request may crash before further sends of it count as late."""
+
+MAX_LATE_CRASHING_SENDS = 3
+"""Allowed sends of such a request later than `CONVERGENCE_S` after that, however long it
+keeps arriving."""
+
+MAX_SHOWN = 5
+"""Cases that a violation lists as examples."""
+
+
+@dataclass(slots=True)
+class Span:
+    """A span of monotonic time in which a fault, stop, evacuation or cold phase lasted.
+
+    Attributes:
+        target: Name of the entry, endpoint or data hall concerned; ``store`` for the store,
+            empty for all entries.
+        is_engine_fault: Whether only engines failed, while the entries themselves worked.
+    """
+
+    target: str
+    start: float
+    end: float
+    is_engine_fault: bool = False
+
+
+@dataclass(slots=True)
+class Observations:
+    """Everything that was observed during the soak.
+
+    Attributes:
+        outcomes: Requests of callers and their results.
+        endpoint_log: Requests that reached endpoints, and their runs.
+        route_changes: The time of each configuration and the service to which it sends plain
+            requests, oldest first.
+        draining_since: When each worker was listed as draining in the store.
+        evacuations: Evacuations, by data hall.
+        cold_spans: Spans in which workers were cold, by worker.
+        halls: The data hall of each worker.
+        store_faults: Faults of the store or of connections to it.
+        planned_stops: Planned stops, by entry.
+        disruptions: Other faults that may cut responses, by entry; an empty name stands for all.
+        token_limit: Tokens that the limited organisation may use in a window.
+        window_s: Length of that window, in seconds.
+        unexpected_exits: Exits of entries that no fault caused.
+        internal_errors: Internal errors that entries logged.
+        stalled_s: For how long the soak's own process stalled, in seconds.
+        recovered_from: Time at which all entries must have recovered from the last fault.
+    """
+
+    outcomes: list[Outcome]
+    endpoint_log: EndpointLog
+    token_limit: float
+    window_s: float
+    route_changes: list[tuple[float, str]] = field(default_factory=list)
+    draining_since: dict[str, float] = field(default_factory=dict)
+    evacuations: list[Span] = field(default_factory=list)
+    cold_spans: list[Span] = field(default_factory=list)
+    halls: dict[str, str] = field(default_factory=dict)
+    store_faults: list[Span] = field(default_factory=list)
+    planned_stops: list[Span] = field(default_factory=list)
+    disruptions: list[Span] = field(default_factory=list)
+    unexpected_exits: list[str] = field(default_factory=list)
+    internal_errors: list[str] = field(default_factory=list)
+    stalled_s: float = 0.0
+    recovered_from: float = 0.0
+
+
+def violations(observed: Observations) -> list[str]:
+    """Return a line for each violated invariant, with the first requests that show it."""
+    by_rid: dict[str, list[Run]] = {}
+    for run in observed.endpoint_log.runs:
+        by_rid.setdefault(run.rid, []).append(run)
+    checker = _notice_checker(observed)
+    found = {
+        "a response is not the complete one of its own request": _wrong_responses(observed),
+        "ran more than once": _repeated_runs(observed, by_rid),
+        "refused as not run, but ran": _false_refusals(observed, by_rid),
+        "an endpoint received work long after it was listed as draining": _work_while_draining(
+            observed
+        ),
+        "an evacuated hall received work long after its evacuation": _work_in_evacuated(
+            observed
+        ),
+        "a cold endpoint received too many requests": _overloaded_cold(observed),
+        "ran at a service that no applied configuration names": _misrouted(
+            observed, by_rid
+        ),
+        "refused by an older configuration": _unknown_routes(observed),
+        "cut off by a planned stop": _cut_by_stop(observed, by_rid),
+        "sent to an endpoint after its caller had left": _sent_after_abandon(
+            observed, by_rid
+        ),
+        "worked on long after its caller had left": _worked_after_abandon(observed, by_rid),
+        "an organisation used more than its token limit": _over_limit(observed),
+        "not served although all faults had ended": _not_recovered(observed),
+        "a request that crashes its engines was still sent": _resent_crashing_requests(
+            observed, by_rid
+        ),
+        "an endpoint received more than its advertised limit": checker.over_limit(
+            CONVERGENCE_S
+        ),
+        "an endpoint received work although it announced leaving": checker.after_leaving(),
+        "an endpoint received work from an entry asked to back off": checker.in_backoff(),
+        "an entry exited unexpectedly": observed.unexpected_exits,
+        "an entry logged an internal error": observed.internal_errors,
+    }
+    return [
+        f"{invariant}: {len(cases)} ({'; '.join(cases[:MAX_SHOWN])})"
+        for invariant, cases in found.items()
+        if cases
+    ]
+
+
+def _notice_checker(observed: Observations) -> NoticeChecker:
+    def is_disrupted(entry: str, since: float, until: float) -> bool:
+        spans = [
+            span
+            for span in observed.disruptions + observed.planned_stops
+            if span.target in ("", entry)
+        ]
+        of_entries = [span for span in spans if not span.is_engine_fault]
+        return _overlaps_any(of_entries, since, until)
+
+    return NoticeChecker(
+        observed.endpoint_log.notices,
+        observed.endpoint_log.arrivals,
+        entry_of={row.rid: row.entry for row in observed.outcomes},
+        is_disrupted=is_disrupted,
+        sent_at={row.rid: row.sent_at for row in observed.outcomes},
+    )
+
+
+def _wrong_responses(observed: Observations) -> list[str]:
+    """Return successful responses with content that belongs to another request."""
+    return [
+        _describe(row)
+        for row in observed.outcomes
+        if row.status == 200 and not _matches_request(row)
+    ]
+
+
+def _matches_request(row: Outcome) -> bool:
+    """Return whether a response has the content that belongs to its request.
+
+    A stream that was cut must be a prefix of the expected one.
+    """
+    if row.kind in ("once", "safe", "new"):
+        return not row.is_whole or row.response_body == plain_body(row.rid)
+    events = [stream_event(row.rid, number + 1) for number in range(stream_length(row.rid))]
+    whole = b"".join(events)
+    return (
+        row.response_body == whole if row.is_whole else whole.startswith(row.response_body)
+    )
+
+
+def _repeated_runs(observed: Observations, by_rid: dict[str, list[Run]]) -> list[str]:
+    rows = [row for row in observed.outcomes if row.kind in AT_MOST_ONCE_KINDS]
+    return [_describe(row) for row in rows if len(by_rid.get(row.rid, [])) > 1]
+
+
+def _false_refusals(observed: Observations, by_rid: dict[str, list[Run]]) -> list[str]:
+    rows = [
+        row
+        for row in observed.outcomes
+        if row.kind in AT_MOST_ONCE_KINDS and row.status in NOT_RUN_STATUSES
+    ]
+    return [_describe(row) for row in rows if by_rid.get(row.rid)]
+
+
+def _work_while_draining(observed: Observations) -> list[str]:
+    late = []
+    for run in observed.endpoint_log.runs:
+        since = observed.draining_since.get(run.worker)
+        if since is None or run.started_at <= since + DRAIN_S:
+            continue
+        if not _overlaps_any(
+            observed.store_faults, run.started_at - CONVERGENCE_S, run.started_at
+        ):
+            late.append(f"{run.rid} at {run.worker} {run.started_at - since:.1f} s after")
+    return late
+
+
+def _work_in_evacuated(observed: Observations) -> list[str]:
+    late = []
+    for span in observed.evacuations:
+        for run in observed.endpoint_log.runs:
+            if observed.halls.get(run.worker) != span.target:
+                continue
+            if not span.start + EVACUATION_S < run.started_at < span.end:
+                continue
+            since = run.started_at - CONVERGENCE_S
+            if not _overlaps_any(
+                observed.store_faults + observed.disruptions, since, run.started_at
+            ):
+                late.append(
+                    f"{run.rid} at {run.worker} {run.started_at - span.start:.1f} s after"
+                )
+    return late
+
+
+def _overloaded_cold(observed: Observations) -> list[str]:
+    """Return cold endpoints that received too many requests in a second.
+
+    No fault excuses that.
+    """
+    found = []
+    for span in observed.cold_spans:
+        times = sorted(
+            run.started_at
+            for run in observed.endpoint_log.runs
+            if run.worker == span.target and span.start <= run.started_at <= span.end
+        )
+        peak = max((sum(at <= t < at + 1.0 for t in times) for at in times), default=0)
+        if peak > MAX_COLD:
+            found.append(f"{span.target}: {peak} of {MAX_COLD:.0f}")
+    return found
+
+
+def _misrouted(observed: Observations, by_rid: dict[str, list[Run]]) -> list[str]:
+    wrong = []
+    for row in observed.outcomes:
+        for run in by_rid.get(row.rid, []):
+            since = row.sent_at - CONFIG_APPLY_S
+            if _overlaps_any(
+                observed.store_faults, row.sent_at - CONVERGENCE_S, run.started_at
+            ):
+                continue
+            if row.kind == "once" and run.service not in _applied_services(
+                observed, since, run.started_at
+            ):
+                wrong.append(f"{row.rid} at {run.service}")
+    return wrong
+
+
+def _unknown_routes(observed: Observations) -> list[str]:
+    """Return requests refused for an unknown route that the entry should have known."""
+    unknown = []
+    for row in observed.outcomes:
+        if row.kind != "new" or row.status != NOT_FOUND:
+            continue
+        spans = [span for span in observed.disruptions if span.target in ("", row.entry)]
+        if not _overlaps_any(
+            spans + observed.store_faults, row.sent_at - CONVERGENCE_S, row.ended_at
+        ):
+            unknown.append(f"{_describe(row)} for {row.path}")
+    return unknown
+
+
+def _applied_services(observed: Observations, since: float, until: float) -> set[str]:
+    """Return the services of all configurations that an entry may have applied."""
+    allowed = {name for when, name in observed.route_changes if since <= when <= until}
+    before = [name for when, name in observed.route_changes if when <= since]
+    return allowed | set(before[-1:])
+
+
+def _cut_by_stop(observed: Observations, by_rid: dict[str, list[Run]]) -> list[str]:
+    """Return requests that an entry cut while its only disruption was a planned stop."""
+    cut = []
+    for row in observed.outcomes:
+        if (
+            row.is_whole
+            or row.is_abandoned_early
+            or row.ended_at - row.sent_at >= TIMEOUT_S
+        ):
+            continue
+        stops = [span for span in observed.planned_stops if span.target == row.entry]
+        if not any(span.start <= row.ended_at <= span.end for span in stops):
+            continue
+        disruptions = [
+            span for span in observed.disruptions if span.target in ("", row.entry)
+        ]
+        if row.rid in by_rid and not _overlaps_any(
+            disruptions, row.sent_at - 1.0, row.ended_at
+        ):
+            cut.append(_describe(row))
+    return cut
+
+
+def _sent_after_abandon(observed: Observations, by_rid: dict[str, list[Run]]) -> list[str]:
+    return [
+        f"{row.rid} at {row.entry} {run.started_at - row.abandoned_at:.1f} s after"
+        for row, run in _runs_for_abandoned(observed, by_rid)
+        if run.started_at > row.abandoned_at + SEND_AFTER_ABANDON_S
+    ]
+
+
+def _worked_after_abandon(
+    observed: Observations, by_rid: dict[str, list[Run]]
+) -> list[str]:
+    return [
+        f"{row.rid} at {row.entry} {run.ended_at - row.abandoned_at:.1f} s after"
+        for row, run in _runs_for_abandoned(observed, by_rid)
+        if run.ended_at > row.abandoned_at + WORK_AFTER_ABANDON_S
+    ]
+
+
+def _runs_for_abandoned(
+    observed: Observations, by_rid: dict[str, list[Run]]
+) -> Iterator[tuple[Outcome, Run]]:
+    """Return runs for callers that left, unless a fault kept the entry from noticing it."""
+    for row in observed.outcomes:
+        if not row.abandoned_at:
+            continue
+        disruptions = [
+            span for span in observed.disruptions if span.target in ("", row.entry)
+        ]
+        for run in by_rid.get(row.rid, []):
+            if not _overlaps_any(
+                disruptions,
+                row.abandoned_at - CONVERGENCE_S,
+                max(run.started_at, run.ended_at),
+            ):
+                yield row, run
+
+
+def _over_limit(observed: Observations) -> list[str]:
+    """Return runs at which the limited organisation exceeded its tokens in a window."""
+    runs = sorted(
+        (run for run in observed.endpoint_log.runs if run.organisation == "limited"),
+        key=lambda run: run.started_at,
+    )
+    total = first = 0
+    over = []
+    for run in runs:
+        total += run.tokens
+        while runs[first].started_at < run.started_at - observed.window_s:
+            total -= runs[first].tokens
+            first += 1
+        if total > observed.token_limit:
+            over.append(f"{total} of {observed.token_limit:.0f} at {run.rid}")
+    return over
+
+
+def _resent_crashing_requests(
+    observed: Observations, by_rid: dict[str, list[Run]]
+) -> list[str]:
+    """Return crashing requests that undisrupted entries sent on after enough crashes."""
+    by_body: dict[bytes, list[tuple[Outcome, Run]]] = {}
+    for row in observed.outcomes:
+        for run in by_rid.get(row.rid, []) if row.is_crashing else []:
+            by_body.setdefault(row.request_body, []).append((row, run))
+    found = []
+    for body, runs in by_body.items():
+        crashes = sorted({run.worker: run.ended_at for _, run in runs}.values())
+        if len(crashes) <= CRASHES_TO_DETECT:
+            continue
+        since = crashes[CRASHES_TO_DETECT - 1] + CONVERGENCE_S
+        late = [
+            row
+            for row, run in runs
+            if run.started_at > since and _is_undisrupted(observed, row)
+        ]
+        if len(late) > MAX_LATE_CRASHING_SENDS:
+            found.append(f"{body.decode()}: {len(late)} sends, {len(crashes)} crashes")
+    return found
+
+
+def _is_undisrupted(observed: Observations, row: Outcome) -> bool:
+    """Return whether the entry had no fault for a while before and during a request."""
+    disruptions = [
+        span
+        for span in observed.disruptions + observed.planned_stops
+        if span.target in ("", row.entry) and not span.is_engine_fault
+    ]
+    return not _overlaps_any(disruptions, row.sent_at - CONVERGENCE_S, row.ended_at)
+
+
+def _not_recovered(observed: Observations) -> list[str]:
+    """Return requests that failed after the recovery time, if there are too many."""
+    rows = [
+        row
+        for row in observed.outcomes
+        if row.sent_at > observed.recovered_from
+        and row.status != 429
+        and not row.is_abandoned_early
+        and not row.is_crashing
+    ]
+    unserved = [row for row in rows if row.status != 200 or not row.is_whole]
+    if not rows:
+        return ["no request was sent"]
+    if len(unserved) <= (1 - MIN_SERVED_FRACTION) * len(rows):
+        return []
+    return [_describe(row) for row in unserved]
+
+
+def _overlaps_any(spans: list[Span], since: float, until: float) -> bool:
+    return any(span.start <= until and span.end >= since for span in spans)
+
+
+def _describe(row: Outcome) -> str:
+    return f"{row.rid} at {row.entry}: {row.status} {row.error}".rstrip()
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -11,10 +11,10 @@
 
 from tests.direct.standins import accept_all, address_of, listen_locally, reset
 
-PIECE_BYTES = 65536
+BUFFER_BYTES = 65536
 
 
-class Harm(enum.Enum):
+class LinkFault(enum.Enum):
     """The fault that the proxy applies to the connections that pass through it."""
 
     NONE = "none"
@@ -27,7 +27,7 @@
     SILENT = "silent"
     """No data passes either way; blocked data is lost and its connection is reset."""
 
-    NO_ANSWERS = "no_answers"
+    NO_RESPONSES = "no_answers"
     """Data from the client passes; data from the server is blocked."""
 
 
@@ -46,31 +46,31 @@
     """
 
     def __init__(self, upstream: str) -> None:
-        self._behind = upstream
+        self._upstream = upstream
         self._listener = listen_locally()
-        self._harm = Harm.NONE
+        self._fault = LinkFault.NONE
         self._pairs: set[tuple[Any, Any]] = set()
-        self._muted: set[tuple[Any, Any]] = set()
+        self._stalled: set[tuple[Any, Any]] = set()
         self.address = address_of(self._listener)
         eventlet.spawn(accept_all, self._listener, self._serve)
 
-    def harm(self, fault: Harm) -> None:
+    def set_fault(self, fault: LinkFault) -> None:
         """Change the fault that is applied to all connections."""
-        self._harm = fault
-        if fault is Harm.RESET:
+        self._fault = fault
+        if fault is LinkFault.RESET:
             for pair in list(self._pairs):
                 self._reset(pair)
 
-    def mute(self) -> None:
+    def stall_open_connections(self) -> None:
         """Drop all further data on open connections, without a reset; new ones work."""
-        self._muted |= self._pairs
+        self._stalled |= self._pairs
 
     def _serve(self, client: Any) -> None:  # noqa: ANN401
-        if self._harm is Harm.RESET:
+        if self._fault is LinkFault.RESET:
             _reset_if_open(client)
             return
         server = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        ip, _, port = self._behind.rpartition(":")
+        ip, _, port = self._upstream.rpartition(":")
         try:
             server.connect((ip, int(port)))
         except OSError:
@@ -83,32 +83,32 @@
 
     def _copy(self, source: Any, sink: Any, pair: tuple[Any, Any]) -> None:  # noqa: ANN401
         try:
-            while data := source.recv(PIECE_BYTES):
-                if self._harm is Harm.DELAY:
+            while data := source.recv(BUFFER_BYTES):
+                if self._fault is LinkFault.DELAY:
                     eventlet.sleep(DELAY_S)
-                self._hold(source, pair)
-                if pair not in self._muted:
+                self._wait_while_blocked(source, pair)
+                if pair not in self._stalled:
                     sink.sendall(data)
-            if pair not in self._muted:
+            if pair not in self._stalled:
                 sink.shutdown(socket.SHUT_WR)
         except (OSError, EOFError):
-            if pair not in self._muted:
+            if pair not in self._stalled:
                 self._reset(pair)
         finally:
             if source is pair[1]:
                 self._pairs.discard(pair)
 
-    def _hold(self, source: Any, pair: tuple[Any, Any]) -> None:  # noqa: ANN401
+    def _wait_while_blocked(self, source: Any, pair: tuple[Any, Any]) -> None:  # noqa: ANN401
         """Wait for as long as the fault blocks data from a side of a connection.
 
         Raises:
             OSError: The data was blocked by `LinkFault.SILENT` and is lost.
         """
         is_response = source is pair[1]
-        while is_response and self._harm is Harm.NO_ANSWERS:
+        while is_response and self._fault is LinkFault.NO_RESPONSES:
             eventlet.sleep(DELAY_S)
         was_silent = False
-        while self._harm is Harm.SILENT:
+        while self._fault is LinkFault.SILENT:
             was_silent = True
             eventlet.sleep(DELAY_S)
         if was_silent:
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -8,34 +8,34 @@
 
 import eventlet
 
+from .cluster import DEFAULT_ENTRIES, Cluster
 from .entries import reserved_net
-from .faults import FAULTS, THEMES, Fault
-from .promises import broken
+from .faults import FAULTS, THEME_FAULTS, Fault
+from .invariants import violations
 from .theme import Theme
-from .world import ENTRIES, World
 
-READY_S = 10.0
+START_TIMEOUT_S = 10.0
 """Longest time until entries accept connections, in seconds: a busy machine is slow."""
 
-BETWEEN_S = (0.8, 2.0, 5.0)
+MAX_FAULT_INTERVALS_S = (0.8, 2.0, 5.0)
 """Longest times between two faults, in seconds; one is drawn for each soak. In some soaks
 faults overlap all the time; in others there are gaps in which invariants with a time limit
 apply."""
 
-KINDS = (2, 8)
+FAULT_KIND_COUNTS = (2, 8)
 """Smallest and largest number of kinds of faults in one soak, for the same reason."""
 
-SERIES = (1, 1, 1, 2, 3)
+REPEAT_COUNTS = (1, 1, 1, 2, 3)
 """Numbers of repetitions of a fault; one is drawn each time."""
 
-SERIES_GAP_S = 0.4
+MAX_REPEAT_INTERVAL_S = 0.4
 """Longest time between repetitions of a fault, in seconds."""
 
-RECOVER_S = 10.0
+RECOVERY_S = 10.0
 """Time to recover after the last fault, in seconds: a planned stop may take the grace time,
 and after a restart an entry may regard each limit as used up for one window."""
 
-CALM_S = 2.0
+VERIFICATION_S = 2.0
 """How long requests must be served after that, in seconds."""
 
 
@@ -44,28 +44,28 @@
     """The result of a soak.
 
     Attributes:
-        broken: Violated invariants, with the requests that show it.
+        violations: Violated invariants, with the requests that show it.
         faults: Names of the faults, in order, with their times.
-        asked: Number of requests that callers sent.
+        sent: Number of requests that callers sent.
         served: Number of requests with a complete and successful response.
         logs: The last lines of each entry's log, if an invariant was violated.
-        late_s: For how long the soak's own process stalled, in seconds.
+        stalled_s: For how long the soak's own process stalled, in seconds.
     """
 
     seed: int
-    broken: list[str]
+    violations: list[str]
     faults: list[str]
-    asked: int
+    sent: int
     served: int
     logs: list[str]
-    late_s: float
+    stalled_s: float
 
 
-def soak(
+def run_soak(
     seed: int,
     faults_s: float,
     folder: Path,
-    entries: int = ENTRIES,
+    entries: int = DEFAULT_ENTRIES,
     *,
     theme: Theme = Theme.ORDINARY,
 ) -> Result:
@@ -79,38 +79,46 @@
         theme: The special behaviour that it tests.
     """
     with reserved_net() as net:
-        cluster = World(seed, net, folder, entries, theme)
-        return _soak(cluster, seed, faults_s)
+        cluster = Cluster(seed, net, folder, entries, theme)
+        return _run(cluster, seed, faults_s)
 
 
-def _soak(cluster: World, seed: int, faults_s: float) -> Result:
+def _run(cluster: Cluster, seed: int, faults_s: float) -> Result:
     faults: list[str] = []
     try:
         cluster.start()
-        _wait_until_served(cluster)
-        cluster.call()
-        if cluster.theme.has_deadly:
+        _wait_until_listening(cluster)
+        cluster.start_callers()
+        if cluster.theme.has_crashing_requests:
             # They continue after all faults have ended: nothing excuses late sends then.
-            eventlet.spawn(cluster.callers.run_deadly, "key-free", faults_s + RECOVER_S)
-        faults = _inject(cluster, faults_s)
-        cluster.seen.calm_from = time.monotonic() + RECOVER_S
-        eventlet.sleep(RECOVER_S + CALM_S)
+            eventlet.spawn(
+                cluster.callers.run_crashing_requests, "key-free", faults_s + RECOVERY_S
+            )
+        faults = _inject_faults(cluster, faults_s)
+        cluster.observations.recovered_from = time.monotonic() + RECOVERY_S
+        eventlet.sleep(RECOVERY_S + VERIFICATION_S)
     finally:
-        cluster.end()
-    found = broken(cluster.seen)
-    served = [row for row in cluster.seen.outcomes if row.status == 200 and row.is_whole]
-    logs = [f"{entry.name}:\n{entry.tail()}" for entry in cluster.entries] if found else []
-    asked = len(cluster.seen.outcomes)
-    return Result(seed, found, faults, asked, len(served), logs, cluster.seen.late_s)
-
-
-def _wait_until_served(cluster: World) -> None:
+        cluster.stop()
+    found = violations(cluster.observations)
+    served = [
+        row for row in cluster.observations.outcomes if row.status == 200 and row.is_whole
+    ]
+    logs = (
+        [f"{entry.name}:\n{entry.log_tail()}" for entry in cluster.entries] if found else []
+    )
+    asked = len(cluster.observations.outcomes)
+    return Result(
+        seed, found, faults, asked, len(served), logs, cluster.observations.stalled_s
+    )
+
+
+def _wait_until_listening(cluster: Cluster) -> None:
     """Wait until every entry accepts connections.
 
     Raises:
         TimeoutError: An entry does not in time.
     """
-    end = time.monotonic() + READY_S
+    end = time.monotonic() + START_TIMEOUT_S
     for entry in cluster.entries:
         while not entry.is_listening:
             if time.monotonic() > end:
@@ -118,33 +126,33 @@
             eventlet.sleep(0.05)
 
 
-def _inject(cluster: World, faults_s: float) -> list[str]:
+def _inject_faults(cluster: Cluster, faults_s: float) -> list[str]:
     """Inject overlapping faults; return their names and times when all have ended."""
     start = time.monotonic()
     names = []
     running = []
-    max_interval_s = cluster.rng.choice(BETWEEN_S)
-    kinds = list(THEMES.get(cluster.theme, ()))
+    max_interval_s = cluster.rng.choice(MAX_FAULT_INTERVALS_S)
+    kinds = list(THEME_FAULTS.get(cluster.theme, ()))
     if not kinds:
-        kinds = cluster.rng.sample(FAULTS, cluster.rng.randint(*KINDS))
+        kinds = cluster.rng.sample(FAULTS, cluster.rng.randint(*FAULT_KIND_COUNTS))
     while time.monotonic() < start + faults_s:
         fault = cluster.rng.choice(kinds)
-        count = cluster.rng.choice(SERIES)
+        count = cluster.rng.choice(REPEAT_COUNTS)
         name = fault.__name__.strip("_")
         names.append(f"{time.monotonic() - start:.2f} {name} x{count}")
-        running.append(eventlet.spawn(_in_series, cluster, fault, count))
+        running.append(eventlet.spawn(_run_repeatedly, cluster, fault, count))
         eventlet.sleep(cluster.rng.uniform(0.0, max_interval_s))
     for greenlet in running:
         greenlet.wait()
-    cluster.mend()
+    cluster.clear_faults()
     return names
 
 
-def _in_series(cluster: World, fault: Fault, count: int) -> None:
+def _run_repeatedly(cluster: Cluster, fault: Fault, count: int) -> None:
     """Inject a fault several times; repetitions end by themselves and may overlap."""
     running = []
     for _ in range(count):
         running.append(eventlet.spawn(fault, cluster))
-        eventlet.sleep(cluster.rng.uniform(0.0, SERIES_GAP_S))
+        eventlet.sleep(cluster.rng.uniform(0.0, MAX_REPEAT_INTERVAL_S))
     for greenlet in running:
         greenlet.wait()
--- a/tests/soak/test_faults.py
+++ b/tests/soak/test_faults.py
@@ -9,12 +9,12 @@
 import eventlet
 import pytest
 
+from .cluster import SERVICES, Cluster
 from .entries import reserved_net
-from .faults import FAULTS, THEMES, Fault
+from .faults import FAULTS, THEME_FAULTS, Fault
 from .theme import Theme
-from .world import SERVICES, World
 
-STRIKES_ENDPOINTS = (
+ENDPOINT_FAULTS = (
     "_replace_worker",
     "_crash_worker",
     "_sick_worker",
@@ -29,19 +29,19 @@
 
 
 @pytest.fixture
-def cluster(tmp_path: Path) -> Iterator[World]:
+def cluster(tmp_path: Path) -> Iterator[Cluster]:
     """A cluster with one endpoint, and with an entry that is not started."""
     with reserved_net() as net:
-        cluster = World(4, net, tmp_path, 1, Theme.LIVES)
-        cluster.configure()
+        cluster = Cluster(4, net, tmp_path, 1, Theme.RESTARTS)
+        cluster.publish_configuration()
         cluster.add_worker(SERVICES[0])
         yield cluster
-        cluster.end()
+        cluster.stop()
 
 
-@pytest.mark.parametrize("name", STRIKES_ENDPOINTS)
+@pytest.mark.parametrize("name", ENDPOINT_FAULTS)
 def test_fault_without_an_endpoint_waits_for_the_next_one(
-    cluster: World, name: str
+    cluster: Cluster, name: str
 ) -> None:
     """A fault must not draw from an empty list of endpoints.
 
@@ -50,7 +50,7 @@
     `IndexError`, and the soak ended before any invariant was checked.
     """
     faults: dict[str, Fault] = {
-        fault.__name__: fault for fault in itertools.chain(FAULTS, *THEMES.values())
+        fault.__name__: fault for fault in itertools.chain(FAULTS, *THEME_FAULTS.values())
     }
     crash = eventlet.spawn(faults["_crash_worker"], cluster)
     eventlet.sleep(0)
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from .run import soak
+from .run import run_soak
 from .theme import Theme
 
 SHORT_S = 4.0
@@ -33,8 +33,8 @@
     ],
 )
 def test_invariants_hold_during_faults(tmp_path: Path, seed: int, faults_s: float) -> None:
-    result = soak(seed, faults_s, tmp_path)
-    assert result.broken == [], "\n".join([*result.faults, *result.logs])
+    result = run_soak(seed, faults_s, tmp_path)
+    assert result.violations == [], "\n".join([*result.faults, *result.logs])
     assert result.served > 100
 
 
@@ -42,8 +42,8 @@
 def test_invariants_hold_while_endpoints_restart_and_halls_are_evacuated(
     tmp_path: Path, seed: int
 ) -> None:
-    result = soak(seed, LONG_S, tmp_path, theme=Theme.LIVES)
-    assert result.broken == [], "\n".join([*result.faults, *result.logs])
+    result = run_soak(seed, LONG_S, tmp_path, theme=Theme.RESTARTS)
+    assert result.violations == [], "\n".join([*result.faults, *result.logs])
     assert result.served > 100
 
 
@@ -51,8 +51,8 @@
 def test_invariants_hold_while_requests_crash_their_endpoints(
     tmp_path: Path, seed: int
 ) -> None:
-    result = soak(seed, LONG_S, tmp_path, theme=Theme.DEADLY)
-    assert result.broken == [], "\n".join([*result.faults, *result.logs])
+    result = run_soak(seed, LONG_S, tmp_path, theme=Theme.CRASHING_REQUESTS)
+    assert result.violations == [], "\n".join([*result.faults, *result.logs])
     assert result.served > 100
 
 
@@ -60,12 +60,12 @@
 def test_invariants_hold_while_endpoints_send_limits_leave_and_ask_for_back_off(
     tmp_path: Path, seed: int
 ) -> None:
-    result = soak(seed, LONG_S, tmp_path, theme=Theme.NOTICES)
-    assert result.broken == [], "\n".join([*result.faults, *result.logs])
+    result = run_soak(seed, LONG_S, tmp_path, theme=Theme.ENDPOINT_NOTICES)
+    assert result.violations == [], "\n".join([*result.faults, *result.logs])
     assert result.served > 100
 
 
 def test_invariants_hold_with_all_themes_at_once(tmp_path: Path) -> None:
-    result = soak(9, LONG_S, tmp_path, theme=Theme.ALL)
-    assert result.broken == [], "\n".join([*result.faults, *result.logs])
+    result = run_soak(9, LONG_S, tmp_path, theme=Theme.ALL)
+    assert result.violations == [], "\n".join([*result.faults, *result.logs])
     assert result.served > 100
--- a/tests/soak/theme.py
+++ b/tests/soak/theme.py
@@ -13,30 +13,30 @@
 
     ORDINARY = "ordinary"
 
-    LIVES = "lives"
+    RESTARTS = "lives"
     """Endpoints are cold after a start, restart under the same id, and are in data halls
     that may be evacuated."""
 
-    DEADLY = "deadly"
+    CRASHING_REQUESTS = "deadly"
     """Some requests crash every endpoint that starts them."""
 
-    NOTICES = "notices"
+    ENDPOINT_NOTICES = "notices"
     """Endpoints advertise limits, announce that they leave, and ask entries to back off."""
 
     ALL = "all"
     """All of these at once."""
 
     @property
-    def has_lives(self) -> bool:
+    def has_restarts(self) -> bool:
         """Whether endpoints are in two data halls and publish their start times."""
-        return self in (Theme.LIVES, Theme.ALL)
+        return self in (Theme.RESTARTS, Theme.ALL)
 
     @property
-    def has_bodies(self) -> bool:
+    def has_distinct_bodies(self) -> bool:
         """Whether most requests have distinct bodies, as in production."""
-        return self in (Theme.DEADLY, Theme.NOTICES, Theme.ALL)
+        return self in (Theme.CRASHING_REQUESTS, Theme.ENDPOINT_NOTICES, Theme.ALL)
 
     @property
-    def has_deadly(self) -> bool:
+    def has_crashing_requests(self) -> bool:
         """Whether some requests crash every endpoint that starts them."""
-        return self in (Theme.DEADLY, Theme.ALL)
+        return self in (Theme.CRASHING_REQUESTS, Theme.ALL)
--- a/tests/soak/workers.py
+++ b/tests/soak/workers.py
@@ -12,22 +12,22 @@
 
 from tests.direct.standins import Dialog, EndpointStandIn, header_of
 
-from .clients import DEADLY
+from .clients import CRASHING_PREFIX
 from .proxy import Proxy
 
 SLOTS = 6
-WORK_S = 0.03
+SERVICE_TIME_S = 0.03
 """Time that a plain request takes, in seconds."""
 
-DEADLY_S = 0.02
+CRASH_DELAY_S = 0.02
 """How long an endpoint works on a request that crashes it, in seconds."""
 
-GAP_S = 0.02
+EVENT_GAP_S = 0.02
 """Time between the events of a stream, in seconds."""
 
 NO_LIMIT = math.inf
 
-LATE_SLOTS = 6
+MAX_WAITING = 6
 """Requests beyond its slots that an endpoint accepts before it rejects more."""
 
 
@@ -39,8 +39,8 @@
         rid: The id of the request.
         worker: Name of the endpoint.
         tokens: Tokens that count against the organisation's limit.
-        began: Monotonic time, in seconds.
-        ended: Monotonic time at which the endpoint stopped working on it, in seconds.
+        started_at: Monotonic time, in seconds.
+        ended_at: Monotonic time at which the endpoint stopped working on it, in seconds.
     """
 
     rid: str
@@ -48,8 +48,8 @@
     service: str
     organisation: str
     tokens: int
-    began: float
-    ended: float = 0.0
+    started_at: float
+    ended_at: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,14 +67,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
+class SentNotice:
     """What an endpoint announced about itself in the headers of a response.
 
     Attributes:
         rid: The id of the request.
         worker: The incarnation of the endpoint, see `Worker.incarnation`.
         at: Monotonic time of the response, in seconds.
-        limit: Requests per second that it accepts; `NO_LIMIT` if it advertised no limit.
+        limit_per_s: Requests per second that it accepts; `NO_LIMIT` if it advertised no limit.
         limit_until: Monotonic time until which it advertises that limit, in seconds.
         is_leaving: Whether it announced that it leaves.
         backoff_s: How long the entry must not send to it, in seconds; 0 if it may.
@@ -83,39 +83,39 @@
     rid: str
     worker: str
     at: float
-    limit: float
+    limit_per_s: float
     limit_until: float
     is_leaving: bool
     backoff_s: float
 
 
 @dataclass(slots=True)
-class Record:
+class EndpointLog:
     """Everything that happened at all endpoints.
 
     Attributes:
         runs: Requests that endpoints ran.
         arrivals: Requests that reached them, run or not, except those addressed to another
             endpoint.
-        words: Notices that they sent, including empty ones after the first.
+        notices: Notices that they sent, including empty ones after the first.
     """
 
     runs: list[Run] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
-    words: list[Word] = field(default_factory=list)
+    notices: list[SentNotice] = field(default_factory=list)
 
 
-def length_of(rid: str) -> int:
+def stream_length(rid: str) -> int:
     """Return the number of events in the stream of a request."""
     return 5 + sum(rid.encode()) % 20
 
 
-def event_of(rid: str, number: int) -> bytes:
+def stream_event(rid: str, number: int) -> bytes:
     """Return one event of the stream of a request."""
     return f"id: {number}\ndata: {rid} {number}\n\n".encode()
 
 
-def answer_of(rid: str) -> bytes:
+def plain_body(rid: str) -> bytes:
     """Return the body of the response to a plain request."""
     return f"answer to {rid}".encode()
 
@@ -127,14 +127,14 @@
         name: The id under which the endpoint is published.
         hall: The data hall of the endpoint.
         born: Start time, in milliseconds; 0 if it does not publish one.
-        failing: Fraction of its requests to which it responds with 500.
-        slowness: Factor by which it is slower than usual.
-        limit: Requests per second that it advertises in responses; `NO_LIMIT` for none.
+        failure_fraction: Fraction of its requests to which it responds with 500.
+        slowdown: Factor by which it is slower than usual.
+        limit_per_s: Requests per second that it advertises in responses; `NO_LIMIT` for none.
         limited_until: Monotonic time until which it advertises that limit, in seconds.
         is_leaving: Whether it announces in responses that it leaves.
-        rest_s: Back-off that it asks for when it rejects a request, in seconds.
-        turning_away: Fraction of its requests that it rejects.
-        on_deadly: Called with its name when a request crashes it; if None, such requests
+        backoff_s: Back-off that it asks for when it rejects a request, in seconds.
+        rejection_fraction: Fraction of its requests that it rejects.
+        on_crashing_request: Called with its name when a request crashes it; if None, such requests
             are harmless.
     """
 
@@ -142,7 +142,7 @@
         self,
         name: str,
         service: str,
-        record: Record,
+        record: EndpointLog,
         rng: random.Random,
         *,
         hall: str = "hall1",
@@ -152,23 +152,23 @@
         self.hall = hall
         self.born = born
         self.service = service
-        self.failing = 0.0
-        self.slowness = 1.0
-        self.limit = NO_LIMIT
+        self.failure_fraction = 0.0
+        self.slowdown = 1.0
+        self.limit_per_s = NO_LIMIT
         self.limited_until = 0.0
         self.is_leaving = False
-        self.rest_s = 0.0
-        self.turning_away = 0.0
-        self._has_said = False
-        self._record = record
+        self.backoff_s = 0.0
+        self.rejection_fraction = 0.0
+        self._has_sent_notice = False
+        self._log = record
         self._rng = rng
-        self.on_deadly: Callable[[str], None] | None = None
+        self.on_crashing_request: Callable[[str], None] | None = None
         self._running = 0
         self._stand_in = EndpointStandIn(self._serve)
         self.proxy = Proxy(self._stand_in.address)
 
     @property
-    def life(self) -> str:
+    def incarnation(self) -> str:
         """Identifies this incarnation among others with the same id."""
         return f"{self.name}/{self.born}" if self.born else self.name
 
@@ -178,22 +178,24 @@
         for dialog in self._stand_in.dialogs:
             dialog.reset()
 
-    def go_dark(self) -> None:
+    def go_silent(self) -> None:
         """Stop responding on open connections and accept no new ones."""
         self._stand_in.close()
-        self.proxy.mute()
+        self.proxy.stall_open_connections()
 
     def _serve(self, dialog: Dialog) -> None:
         expected = header_of(dialog.request, b"expected-instance")
         if expected != self.name.encode():
             dialog.respond(b"", b"421 Misdirected Request")
             return
-        self._record.arrivals.append(
-            Arrival(dialog.rid.decode(), self.life, time.monotonic())
+        self._log.arrivals.append(
+            Arrival(dialog.rid.decode(), self.incarnation, time.monotonic())
         )
-        is_rejected = self.turning_away and self._rng.random() < self.turning_away
-        if is_rejected or self._running >= SLOTS + LATE_SLOTS:
-            headers = b"Not-Executed: 1\r\n" + self._say(dialog, self.rest_s)
+        is_rejected = (
+            self.rejection_fraction and self._rng.random() < self.rejection_fraction
+        )
+        if is_rejected or self._running >= SLOTS + MAX_WAITING:
+            headers = b"Not-Executed: 1\r\n" + self._notice_headers(dialog, self.backoff_s)
             dialog.respond(b"", b"503 Service Unavailable", headers)
             return
         self._running += 1
@@ -203,32 +205,32 @@
             self._running -= 1
 
     def _run(self, dialog: Dialog) -> None:
-        run = self._note(dialog)
+        run = self._record_run(dialog)
         try:
-            self._serve_run(dialog)
+            self._respond(dialog)
         finally:
-            run.ended = time.monotonic()
+            run.ended_at = time.monotonic()
 
-    def _serve_run(self, dialog: Dialog) -> None:
-        if self.on_deadly is not None and DEADLY in dialog.request:
-            eventlet.sleep(DEADLY_S)
-            eventlet.spawn_n(self.on_deadly, self.name)
-            eventlet.sleep(WORK_S)
+    def _respond(self, dialog: Dialog) -> None:
+        if self.on_crashing_request is not None and CRASHING_PREFIX in dialog.request:
+            eventlet.sleep(CRASH_DELAY_S)
+            eventlet.spawn_n(self.on_crashing_request, self.name)
+            eventlet.sleep(SERVICE_TIME_S)
             return
         path = dialog.request.split(b" ", 2)[1].decode()
-        if self._rng.random() < self.failing:
-            headers = self._say(dialog)
+        if self._rng.random() < self.failure_fraction:
+            headers = self._notice_headers(dialog)
             dialog.respond(b"failed", b"500 Internal Server Error", headers)
             return
-        serve: Callable[[Dialog], None] = self._plain
+        serve: Callable[[Dialog], None] = self._send_plain
         if path.startswith(("/draft/", "/brief/")):
-            serve = self._stream
+            serve = self._send_stream
         serve(dialog)
 
-    def _say(self, dialog: Dialog, backoff_s: float = 0.0) -> bytes:
+    def _notice_headers(self, dialog: Dialog, backoff_s: float = 0.0) -> bytes:
         """Return the status headers for a response, and log them as a notice."""
         now = time.monotonic()
-        limit = self.limit if now < self.limited_until else NO_LIMIT
+        limit = self.limit_per_s if now < self.limited_until else NO_LIMIT
         headers = b""
         if limit < NO_LIMIT:
             headers += f"Server-Limit: {limit}\r\n".encode()
@@ -236,16 +238,22 @@
             headers += b"Server-Leaving: 1\r\n"
         if backoff_s:
             headers += f"Retry-After: {backoff_s}\r\n".encode()
-        self._has_said = self._has_said or bool(headers)
-        if self._has_said:
+        self._has_sent_notice = self._has_sent_notice or bool(headers)
+        if self._has_sent_notice:
             rid = dialog.rid.decode()
-            notice = Word(
-                rid, self.life, now, limit, self.limited_until, self.is_leaving, backoff_s
+            notice = SentNotice(
+                rid,
+                self.incarnation,
+                now,
+                limit,
+                self.limited_until,
+                self.is_leaving,
+                backoff_s,
             )
-            self._record.words.append(notice)
+            self._log.notices.append(notice)
         return headers
 
-    def _note(self, dialog: Dialog) -> Run:
+    def _record_run(self, dialog: Dialog) -> Run:
         counts = (header_of(dialog.request, b"token-counts") or b"0,0").split(b",")
         run = Run(
             rid=dialog.rid.decode(),
@@ -253,20 +261,20 @@
             service=self.service,
             organisation=(header_of(dialog.request, b"tenant-id") or b"").decode(),
             tokens=sum(int(count) for count in counts),
-            began=time.monotonic(),
+            started_at=time.monotonic(),
         )
-        self._record.runs.append(run)
+        self._log.runs.append(run)
         return run
 
-    def _plain(self, dialog: Dialog) -> None:
-        eventlet.sleep(WORK_S * self.slowness)
-        dialog.respond(answer_of(dialog.rid.decode()), extra=self._say(dialog))
+    def _send_plain(self, dialog: Dialog) -> None:
+        eventlet.sleep(SERVICE_TIME_S * self.slowdown)
+        dialog.respond(plain_body(dialog.rid.decode()), extra=self._notice_headers(dialog))
 
-    def _stream(self, dialog: Dialog) -> None:
+    def _send_stream(self, dialog: Dialog) -> None:
         rid = dialog.rid.decode()
         after = int(header_of(dialog.request, b"last-event-id") or 0)
-        dialog.start_stream(self._say(dialog))
-        for number in range(after + 1, length_of(rid) + 1):
-            eventlet.sleep(GAP_S * self.slowness)
-            dialog.chunk(event_of(rid, number))
+        dialog.start_stream(self._notice_headers(dialog))
+        for number in range(after + 1, stream_length(rid) + 1):
+            eventlet.sleep(EVENT_GAP_S * self.slowdown)
+            dialog.chunk(stream_event(rid, number))
         dialog.chunk(b"")
--- a/tests/test_caller_api.py
+++ b/tests/test_caller_api.py
@@ -11,7 +11,7 @@
 
 from dockreach.launching import Deployment
 
-from .fleet import Caller, deployed, fleet
+from .fleet import Caller, fleet, run_deployment
 
 AUTH = "Authorization: Bearer org-key"
 LIMITS = "unclear_s = 4\nbody_bytes = 20000\nsender_s = 1"
@@ -19,7 +19,7 @@
 
 @pytest.fixture(scope="module")
 def small() -> Iterator[Deployment]:
-    yield from deployed(fleet(1, services=1, limits=LIMITS))
+    yield from run_deployment(fleet(1, services=1, limits=LIMITS))
 
 
 def send_raw(deployment: Deployment, data: bytes, *, finish: bool = True) -> bytes:
@@ -28,7 +28,7 @@
     A server that refuses a request before it has read all of it resets the connection. The
     reset may arrive before its response, which is then empty here.
     """
-    port = deployment.entries["entry1"].http
+    port = deployment.entries["entry1"].http_port
     parts = []
     with socket.create_connection(("127.0.0.1", port), timeout=20) as conn:
         with contextlib.suppress(OSError):
@@ -105,7 +105,7 @@
     flood = [f"X-Flood-{index}: {'y' * 1000}" for index in range(100)]
     response = post(small, completion_body(), AUTH, *flood)
     assert response == b"" or b" 400 Headers Too Large" in response.split(b"\r\n")[0]
-    assert Caller(small, tokens=5).end().whole
+    assert Caller(small, tokens=5).wait_until_ended().is_complete
 
 
 def test_slow_sender_is_disconnected_without_delaying_others(small: Deployment) -> None:
@@ -113,7 +113,7 @@
     head = f"POST /v1/completions HTTP/1.1\r\nHost: x\r\n{AUTH}\r\nContent-Length: 500"
     response = send_raw(small, head.encode() + b"\r\n\r\nhalf", finish=False)
     assert response == b"" or response.startswith(b"HTTP/1.1 400")
-    assert Caller(small, tokens=5).end().whole
+    assert Caller(small, tokens=5).wait_until_ended().is_complete
 
 
 def test_truncated_body_is_refused(small: Deployment) -> None:
@@ -131,18 +131,20 @@
 
 
 def test_complete_response_has_id_ticket_and_verdict(small: Deployment) -> None:
-    caller = Caller(small, tokens=3, stream=False).end()
+    caller = Caller(small, tokens=3, stream=False).wait_until_ended()
     assert caller.headers["Dockreach-Verdict"] == "ran"
     assert caller.headers["Dockreach-Ticket"].startswith(caller.rid + ":")
 
 
 def test_request_that_cannot_meet_its_deadline_is_refused(small: Deployment) -> None:
     """It must be refused before it runs, with a delay for the retry."""
-    caller = Caller(small, tokens=500, headers={"Dockreach-Deadline-Ms": "300"}).end()
+    caller = Caller(
+        small, tokens=500, headers={"Dockreach-Deadline-Ms": "300"}
+    ).wait_until_ended()
     assert caller.status == 503
     assert caller.verdict == "not_run"
     assert int(caller.headers["Retry-After"]) >= 1
-    assert small.runs_of(caller.rid) == 0
+    assert small.run_count(caller.rid) == 0
 
 
 def test_caller_that_stops_reading_does_not_block_others(small: Deployment) -> None:
@@ -150,10 +152,10 @@
     data = completion_body(max_tokens=900, stream=True)
     head = ["POST /v1/completions HTTP/1.1", "Host: x", AUTH]
     head += [f"Content-Length: {len(data)}", "", ""]
-    port = small.entries["entry1"].http
+    port = small.entries["entry1"].http_port
     conn = socket.socket()
     conn.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     conn.connect(("127.0.0.1", port))
     conn.sendall("\r\n".join(head).encode() + data)
-    assert Caller(small, tokens=5).end().whole
+    assert Caller(small, tokens=5).wait_until_ended().is_complete
     conn.close()
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -95,7 +95,7 @@
 
 def test_operators_query_and_cancel_requests_of_running_daemons(tmp_path: Path) -> None:
     with Deployment(fleet(2)) as deployment:
-        options = ["--entry", f"http://127.0.0.1:{deployment.entries['entry1'].http}"]
+        options = ["--entry", f"http://127.0.0.1:{deployment.entries['entry1'].http_port}"]
         options += ["--key", OPERATOR_KEY]
 
         def run_json(*arguments: str) -> dict[str, Any]:
@@ -104,7 +104,7 @@
             answer: dict[str, Any] = json.loads(result.output)
             return answer
 
-        caller = Caller(deployment, tokens=300).started()
+        caller = Caller(deployment, tokens=300).wait_until_started()
         rows = run_json("query", "requests where state=committed")["rows"]
         assert [row["request"] for row in rows] == [caller.rid]
         engines = run_json("query", "engines order by engine")["rows"]
@@ -113,13 +113,13 @@
         assert {row["revision"] for row in config["rows"]} == {1}
         assert not config["silent"]
         assert run_cli("cancel", caller.rid, *options).exit_code == 0
-        caller.end()
+        caller.wait_until_ended()
         assert b'"code":"operator"' in caller.data
         decisions = [row["decision"] for row in run_json("why", caller.rid)["rows"]]
         assert decisions[0] == "admitted"
         assert "commit" in decisions
         assert decisions[-1] == "refused"
-        assert Caller(deployment, tokens=5).end().whole
+        assert Caller(deployment, tokens=5).wait_until_ended().is_complete
         path = tmp_path / "fleet.ini"
         path.write_text(deployment.spec.declarations(1))
         page = tmp_path / "burn.html"
--- a/tests/test_commitment.py
+++ b/tests/test_commitment.py
@@ -5,38 +5,38 @@
 from dockreach.messages import Chunk, Hold
 from dockreach.verdict import Reason, Verdict
 
-from .cores import Net, admit, new_net
+from .cores import SimulatedNetwork, new_admit, new_network
 
 
-def commit_request(net: Net, rid: str = "r1") -> str:
+def commit_request(net: SimulatedNetwork, rid: str = "r1") -> str:
     """Admit a request and step until it is committed; return the agent's name."""
-    net.put("n0", admit(rid))
+    net.deliver("n0", new_admit(rid))
     net.steps(6)
     row = net.request(rid)
     assert row.phase is Phase.COMMITTED
     return row.agent
 
 
-def finish_run(net: Net, agent: str, rid: str = "r1", chunks: int = 1) -> None:
+def finish_run(net: SimulatedNetwork, agent: str, rid: str = "r1", chunks: int = 1) -> None:
     for number in range(chunks):
-        net.put(agent, EngineChunk(Chunk(rid, number, b"x", 1, 200, "text/plain")))
-    net.put(agent, EngineEnded(rid, True, chunks))
+        net.deliver(agent, EngineChunk(Chunk(rid, number, b"x", 1, 200, "text/plain")))
+    net.deliver(agent, EngineEnded(rid, True, chunks))
     net.steps(4)
 
 
 def test_request_gets_complete_answer() -> None:
-    net = new_net()
+    net = new_network()
     agent = commit_request(net)
     finish_run(net, agent, chunks=3)
     row = net.request("r1")
     assert row.refusal is None
     assert b"".join(chunk.data for chunk in row.ready_chunks) == b"xxx"
-    assert net.runs_of("r1") == 1
+    assert net.run_count("r1") == 1
 
 
 def test_lost_commit_is_fenced_before_retry() -> None:
-    net = new_net()
-    net.put("n0", admit("r1"))
+    net = new_network()
+    net.deliver("n0", new_admit("r1"))
     while net.request_phase("r1") is not Phase.COMMITTED:
         net.step()
     agent = net.request("r1").agent
@@ -46,30 +46,30 @@
     assert len(net.commits("r1")) == 1
     net.link("n0", agent)
     net.steps(12)
-    assert net.runs_of("r1") == 1
+    assert net.run_count("r1") == 1
     assert [step.event for step in net.request("r1").decisions].count("commit") == 2
 
 
 def test_link_lost_after_dispatch_resumes_same_run() -> None:
-    net = new_net()
+    net = new_network()
     agent = commit_request(net)
-    net.put(agent, EngineChunk(Chunk("r1", 0, b"a", 1, 200, "text/plain")))
+    net.deliver(agent, EngineChunk(Chunk("r1", 0, b"a", 1, 200, "text/plain")))
     net.steps(2)
     net.unlink("n0", agent)
     net.steps(2)
-    net.put(agent, EngineChunk(Chunk("r1", 1, b"b", 1)))
-    net.put(agent, EngineEnded("r1", True, 2))
+    net.deliver(agent, EngineChunk(Chunk("r1", 1, b"b", 1)))
+    net.deliver(agent, EngineEnded("r1", True, 2))
     net.steps(3)
     net.link("n0", agent)
     net.steps(6)
     row = net.request("r1")
     assert row.refusal is None
     assert b"".join(chunk.data for chunk in row.ready_chunks) == b"ab"
-    assert net.runs_of("r1") == 1
+    assert net.run_count("r1") == 1
 
 
 def test_unreachable_agent_gives_may_have_run_without_second_dispatch() -> None:
-    net = new_net()
+    net = new_network()
     agent = commit_request(net)
     net.unlink("n0", agent)
     net.steps(30, 0.25)
@@ -81,11 +81,11 @@
 
 
 def test_deleted_vm_ends_request_immediately() -> None:
-    net = new_net()
+    net = new_network()
     agent = commit_request(net)
     net.unlink("n0", agent)
     net.steps(2)
-    net.put("n0", AgentGone(), agent)
+    net.deliver("n0", AgentGone(), agent)
     net.steps(2)
     refusal = net.request("r1").refusal
     assert refusal is not None
@@ -93,35 +93,35 @@
 
 
 def test_restarted_agent_resumes_run_known_to_engine() -> None:
-    net = new_net()
+    net = new_network()
     agent = commit_request(net)
     net.restart_agent(agent)
     net.steps(3)
-    net.put(agent, EngineResumed("r1", "n0", True, 0))
+    net.deliver(agent, EngineResumed("r1", "n0", True, 0))
     net.steps(2)
     finish_run(net, agent)
     row = net.request("r1")
     assert row.refusal is None
-    assert net.runs_of("r1") == 1
+    assert net.run_count("r1") == 1
 
 
 def test_restarted_agent_without_run_gives_may_have_run() -> None:
-    net = new_net()
+    net = new_network()
     agent = commit_request(net)
     net.restart_agent(agent)
     net.steps(3)
-    net.put(agent, EngineResumed("r1", "n0", False, 0))
+    net.deliver(agent, EngineResumed("r1", "n0", False, 0))
     net.steps(3)
     refusal = net.request("r1").refusal
     assert refusal is not None
     assert refusal.verdict is Verdict.MAY_HAVE_RUN
-    assert net.runs_of("r1") == 1
+    assert net.run_count("r1") == 1
 
 
 def test_request_refused_by_engine_is_committed_again() -> None:
-    net = new_net()
+    net = new_network()
     agent = commit_request(net)
-    net.put(agent, EngineNotRun("r1"))
+    net.deliver(agent, EngineNotRun("r1"))
     net.steps(8)
     row = net.request("r1")
     assert row.phase is Phase.COMMITTED
@@ -129,10 +129,10 @@
 
 
 def test_answer_with_missing_chunks_is_not_complete() -> None:
-    net = new_net()
+    net = new_network()
     agent = commit_request(net)
-    net.put(agent, EngineChunk(Chunk("r1", 0, b"a", 1, 200, "text/plain")))
-    net.put(agent, EngineEnded("r1", True, 5))
+    net.deliver(agent, EngineChunk(Chunk("r1", 0, b"a", 1, 200, "text/plain")))
+    net.deliver(agent, EngineEnded("r1", True, 5))
     net.steps(4)
     refusal = net.request("r1").refusal
     assert refusal is not None
@@ -140,42 +140,42 @@
 
 
 def test_commit_with_expired_grant_is_refused_and_placed_again() -> None:
-    net = new_net()
-    net.put("n0", admit("r1"))
+    net = new_network()
+    net.deliver("n0", new_admit("r1"))
     net.steps(3)
     while net.request("r1").phase is not Phase.COMMITTED:
         net.step()
     agent = net.request("r1").agent
-    net.frozen.add(agent)
+    net.paused.add(agent)
     net.steps(3)
     net.now += 5.0
-    net.frozen.clear()
+    net.paused.clear()
     net.steps(12)
-    assert net.runs_of("r1") == 1
+    assert net.run_count("r1") == 1
     assert len(net.commits("r1")) == 2
 
 
 def test_ticket_attaches_only_for_its_own_organisation() -> None:
-    net = new_net(entries=2)
+    net = new_network(entries=2)
     agent = commit_request(net)
     finish_run(net, agent)
     for organisation, verdict in (("other", Verdict.MAY_HAVE_RUN), ("org", None)):
         message = AttachRun("r1", organisation, 0, "", 5.0, agent, 1, True)
-        net.put("n1", message)
+        net.deliver("n1", message)
         net.steps(4)
         refusal = net.request("r1", "n1").refusal
         actual_verdict = None if refusal is None else refusal.verdict
         assert actual_verdict is verdict
-    assert net.runs_of("r1") == 1
+    assert net.run_count("r1") == 1
 
 
 def test_drained_agents_are_not_sent_holds_in_a_loop() -> None:
-    net = new_net()
+    net = new_network()
     for world in net.agents.values():
         world.drained = True
-    net.put("n0", admit("r1"))
+    net.deliver("n0", new_admit("r1"))
     net.steps(40)
-    holds = [item for _, _, item in net.trace if isinstance(item, Hold)]
+    holds = [item for _, _, item in net.sent_messages if isinstance(item, Hold)]
     assert len(holds) <= 4
     for world in net.agents.values():
         world.drained = False
@@ -184,10 +184,10 @@
 
 
 def test_request_to_drained_pool_is_refused_with_retry_after() -> None:
-    net = new_net()
+    net = new_network()
     for world in net.agents.values():
         world.drained = True
-    net.put("n0", admit("r1"))
+    net.deliver("n0", new_admit("r1"))
     net.steps(60, 0.1)
     refusal = net.request("r1").refusal
     assert refusal is not None
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -8,20 +8,20 @@
 
 from dockreach.launching import Deployment, Process, wait_until
 
-from .fleet import Caller, deployed, fleet
+from .fleet import Caller, fleet, run_deployment
 
 ENTRIES = [("entry1", "hall1"), ("entry2", "hall1"), ("entry3", "hall2")]
 
 
 @pytest.fixture
 def halls() -> Iterator[Deployment]:
-    yield from deployed(fleet(2, entries=list(ENTRIES)))
+    yield from run_deployment(fleet(2, entries=list(ENTRIES)))
 
 
 def publish(deployment: Deployment, revision: int, deadline_s: int = 20) -> None:
     body = deployment.spec.declarations(revision)
     body = body.replace("deadline_s=20", f"deadline_s={deadline_s}")
-    deployment.admin(config=body, revision=revision)
+    deployment.update_platform(config=body, revision=revision)
 
 
 def in_force(process: Process) -> int:
@@ -59,9 +59,9 @@
     publish(halls, 5)
     await_revision(halls, 5)
     publish(halls, 4, deadline_s=1)
-    halls.admin(revision=9)
+    halls.update_platform(revision=9)
     wait_until(lambda: logged(halls, 301), "the refusal")
-    assert Caller(halls, tokens=10).end().whole
+    assert Caller(halls, tokens=10).wait_until_ended().is_complete
     assert {in_force(process) for process in halls.entries.values()} == {5}
 
 
@@ -83,7 +83,7 @@
     publish(halls, 5)
     await_revision(halls, 5)
     publish(halls, 5, deadline_s=1)
-    halls.admin(revision=6)
+    halls.update_platform(revision=6)
     wait_until(lambda: logged(halls, 301), "the refusal")
     publish(halls, 7)
     await_revision(halls, 7)
@@ -91,11 +91,11 @@
 
 @pytest.mark.parametrize("mode", ["down", "rubbish"])
 def test_the_service_fails_and_comes_back(halls: Deployment, mode: str) -> None:
-    halls.admin(mode=mode)
+    halls.update_platform(mode=mode)
     wait_until(lambda: logged(halls, 303), "the event")
-    assert Caller(halls, tokens=10).end().whole
+    assert Caller(halls, tokens=10).wait_until_ended().is_complete
     publish(halls, 2)
-    halls.admin(mode="up")
+    halls.update_platform(mode="up")
     await_revision(halls, 2)
 
 
@@ -104,7 +104,7 @@
 ) -> None:
     publish(halls, 3)
     await_revision(halls, 3)
-    halls.admin(mode="down")
+    halls.update_platform(mode="down")
     halls.agents["engine0"].kill()
     # The VM list cannot be read now; the agent comes back at its old address.
     fresh = halls.restart_agent_in_place("engine0")
@@ -112,9 +112,9 @@
 
 
 def test_a_megabyte_is_refused_and_what_is_in_force_stays(halls: Deployment) -> None:
-    halls.admin(config="#" * (1 << 20) + "#", revision=2)
+    halls.update_platform(config="#" * (1 << 20) + "#", revision=2)
     wait_until(lambda: logged(halls, 303) or logged(halls, 301), "the refusal")
-    assert Caller(halls, tokens=10).end().whole
+    assert Caller(halls, tokens=10).wait_until_ended().is_complete
 
 
 def test_calls_grow_with_halls_and_not_with_daemons(halls: Deployment) -> None:
--- a/tests/test_dispatch_machine.py
+++ b/tests/test_dispatch_machine.py
@@ -16,7 +16,7 @@
 from dockreach.messages import Chunk
 from dockreach.verdict import Verdict
 
-from .cores import Net, admit, new_net
+from .cores import SimulatedNetwork, new_admit, new_network
 
 CHUNKS = 3
 
@@ -30,7 +30,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.net: Net = new_net(endpoints=3, entries=2)
+        self.net: SimulatedNetwork = new_network(endpoints=3, entries=2)
         self.count = 0
         self.keys: list[str] = []
         self.engine_chunks: dict[tuple[str, str], int] = {}
@@ -43,14 +43,14 @@
         rid = f"k-{self.count}" if keyed else f"r-{self.count}"
         if keyed:
             self.keys.append(rid)
-        self.net.put(entry, admit(rid, tier=tier, key=keyed))
+        self.net.deliver(entry, new_admit(rid, tier=tier, key=keyed))
         self.net.step()
 
     @rule(entry=st.sampled_from(["n0", "n1"]), data=st.data())
     def send_again(self, entry: str, data: st.DataObject) -> None:
         if self.keys:
             rid = data.draw(st.sampled_from(self.keys))
-            self.net.put(entry, admit(rid, key=True))
+            self.net.deliver(entry, new_admit(rid, key=True))
             self.net.step()
 
     @rule(count=st.integers(1, 8))
@@ -72,13 +72,13 @@
             # The engine refused the request, so this dispatch does not count as a run.
             self.net.dispatched.remove((agent, rid))
             del self.engine_chunks[agent, rid]
-            self.net.put(agent, EngineNotRun(rid))
+            self.net.deliver(agent, EngineNotRun(rid))
         else:
             self.engine_chunks[agent, rid] = done + 1
             chunk = Chunk(rid, done, b"x", 1, 200, "text/plain")
-            self.net.put(agent, EngineChunk(chunk))
+            self.net.deliver(agent, EngineChunk(chunk))
             if done + 1 == CHUNKS:
-                self.net.put(agent, EngineEnded(rid, True, CHUNKS))
+                self.net.deliver(agent, EngineEnded(rid, True, CHUNKS))
         self.net.step()
 
     @rule(entry=st.sampled_from(["n0", "n1"]), agent=st.sampled_from(["e0", "e1", "e2"]))
@@ -88,19 +88,24 @@
 
     @rule()
     def heal(self) -> None:
-        self.net.frozen.clear()
-        for pair in list(self.net.cut):
+        self.net.paused.clear()
+        for pair in list(self.net.cut_links):
             entry, agent = sorted(pair, reverse=True)
             self.net.link(entry, agent)
         self.net.steps(4)
 
     @rule(name=st.sampled_from(["n0", "n1", "e0", "e1", "e2"]))
     def freeze(self, name: str) -> None:
-        self.net.frozen.add(name)
+        self.net.paused.add(name)
 
     @rule(agent=st.sampled_from(["e0", "e1", "e2"]))
     def restart(self, agent: str) -> None:
-        if self.restarts or agent in self.net.frozen or self.net.cut or self.net.frozen:
+        if (
+            self.restarts
+            or agent in self.net.paused
+            or self.net.cut_links
+            or self.net.paused
+        ):
             return
         self.restarts += 1
         self.net.restart_agent(agent)
@@ -112,7 +117,7 @@
     @invariant()
     def each_request_runs_at_most_once(self) -> None:
         for rid in {rid for _, rid in self.net.dispatched}:
-            assert self.net.runs_of(rid) <= 1
+            assert self.net.run_count(rid) <= 1
 
     @invariant()
     def not_run_verdict_is_correct(self) -> None:
@@ -121,7 +126,7 @@
                 if row.refusal is None or row.keyed:
                     continue
                 if row.refusal.verdict is Verdict.NOT_RUN:
-                    assert self.net.runs_of(row.rid) == 0
+                    assert self.net.run_count(row.rid) == 0
 
     @invariant()
     def answers_are_complete_and_in_order(self) -> None:
@@ -137,14 +142,14 @@
         for agent, action in self.net.lookups:
             known = (agent, action.rid) in self.engine_chunks
             answer = EngineResumed(action.rid, action.entry, known, 0)
-            self.net.put(agent, answer)
+            self.net.deliver(agent, answer)
             if known:
                 done = self.engine_chunks[agent, action.rid]
                 for number in range(done):
                     chunk = Chunk(action.rid, number, b"x", 1, 200, "text/plain")
-                    self.net.put(agent, EngineChunk(chunk))
+                    self.net.deliver(agent, EngineChunk(chunk))
                 if done == CHUNKS:
-                    self.net.put(agent, EngineEnded(action.rid, True, CHUNKS))
+                    self.net.deliver(agent, EngineEnded(action.rid, True, CHUNKS))
         self.net.lookups.clear()
         return self.engine_chunks
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -6,7 +6,7 @@
 from dockreach.launching import Deployment, wait_until
 from dockreach.orders import EndpointState, LoadOrderPlanner, load_delay_s
 
-from .cores import declared
+from .cores import parse_declarations
 from .fleet import fleet
 
 
@@ -34,7 +34,7 @@
 
 def test_no_order_if_nothing_is_declared() -> None:
     planner = LoadOrderPlanner("e0", 7)
-    planner.apply_declarations(declared(1), 0.0)
+    planner.apply_declarations(parse_declarations(1), 0.0)
     assert planner.next_order(EndpointState("old"), 0.0) is None
 
 
@@ -49,7 +49,7 @@
         body = deployment.spec.declarations(2).replace(
             "[endpoint engine0]\n", "[endpoint engine0]\nversion=v2\nadapters=legal\n"
         )
-        deployment.admin(config=body, revision=2)
+        deployment.update_platform(config=body, revision=2)
         engine = deployment.engines["engine0"]
 
         def state() -> dict[str, object]:
@@ -58,6 +58,6 @@
 
         wait_until(lambda: state()["version"] == "v2", "the load")
         stale = b'{"version":"v1","adapters":[],"fence":[1,1,1]}'
-        url = f"http://127.0.0.1:{engine.http}/v1/orders"
+        url = f"http://127.0.0.1:{engine.http_port}/v1/orders"
         assert deployment.http.request("POST", url, body=stale).status == 409
         assert state() == {"version": "v2", "adapters": ["legal"]}
