--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -68,7 +68,8 @@
         "chunks are sent in order",
         "running.py",
         "    run.out_of_order[chunk.number] = chunk\n"
-        "    while (chunk_next := run.out_of_order.pop(run.next_chunk, None)) is not None:\n"
+        "    while (chunk_next := run.out_of_order.pop(run.next_chunk, None)) "
+        "is not None:\n"
         "        _store_chunk(world, run, chunk_next)",
         "    _store_chunk(world, run, chunk)",
     ),
--- a/dockreach/link.py
+++ b/dockreach/link.py
@@ -195,7 +195,7 @@
         for link in list(self._links.values()):
             link.close()
 
-    async def _keep(self, address: str) -> None:
+    async def _keep_dialled(self, address: str) -> None:
         while address in self._dialled:
             channel = grpc.aio.insecure_channel(address, options=_OPTIONS)
             try:
@@ -213,7 +213,7 @@
     ) -> None:
         await self._run_stream(requests, context.write, dialled=False)
 
-    async def _converse(
+    async def _run_stream(
         self,
         requests: AsyncIterator[bytes],
         write: Callable[[bytes], Any],
@@ -250,7 +250,9 @@
                 link.pending = []
                 await self._write_batch(write, batch)
 
-    async def _put(self, write: Callable[[bytes], Any], batch: list[AnyMessage]) -> None:
+    async def _write_batch(
+        self, write: Callable[[bytes], Any], batch: list[AnyMessage]
+    ) -> None:
         data = encode(batch)
         self.batches += 1
         self.messages += len(batch)
@@ -304,7 +306,7 @@
             del self._links[link.name]
             self._handler.peer_down(link.name)
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
             beat = self._handler.heartbeat()
