--- a/dockreach/cli_worth.py
+++ b/dockreach/cli_worth.py
@@ -54,29 +54,29 @@
         prices = read_prices(prices_path) if prices_path else Prices()
     except SettingsError as exc:
         exit_with_error(str(exc))
-    counted = read_attempt_counts(files)
-    rows = worth_by_route(counted)
+    counts = read_attempt_counts(files)
+    rows = worth_by_route(counts)
     if html_path is not None:
-        html_path.write_text(_render_html(rows, prices, counted))
+        html_path.write_text(_render_html(rows, prices, counts))
     if as_json:
-        click.echo(msgspec.json.encode(_report_fields(rows, prices, counted)).decode())
+        click.echo(msgspec.json.encode(_report_fields(rows, prices, counts)).decode())
     else:
         Console().print(_table(rows, prices))
         click.echo(f"worth of all: {total_worth(rows, prices):.4f}")
-    _print_problems(counted)
+    _print_problems(counts)
     if not rows:
         sys.exit(EXIT_REFUSED)
 
 
-def _print_problems(counted: AttemptCounts) -> None:
-    for problem in counted.problems:
+def _print_problems(counts: AttemptCounts) -> None:
+    for problem in counts.problems:
         click.echo(f"dockreach: {problem}", err=True)
-    if counted.is_partial:
-        click.echo(f"dockreach: partial: {counted.left_out} lines left out", err=True)
+    if counts.is_partial:
+        click.echo(f"dockreach: partial: {counts.left_out} lines left out", err=True)
 
 
 def _report_fields(
-    rows: Sequence[RouteWorth], prices: Prices, counted: AttemptCounts
+    rows: Sequence[RouteWorth], prices: Prices, counts: AttemptCounts
 ) -> dict[str, Any]:
     routes = [
         {**asdict(row), "worth": row.worth(prices), "lost": row.losses(prices)}
@@ -85,9 +85,9 @@
     return {
         "worth": total_worth(rows, prices),
         "routes": routes,
-        "partial": counted.is_partial,
-        "left_out": counted.left_out,
-        "problems": counted.problems,
+        "partial": counts.is_partial,
+        "left_out": counts.left_out,
+        "problems": counts.problems,
     }
 
 
@@ -95,7 +95,16 @@
     table = Table(title="worth, counted from callers' first attempts")
     for name in ("route", "tier"):
         table.add_column(name)
-    for name in ("owed", "back", "in time", "late", "pause", "unserved", "held", "worth"):
+    for name in (
+        "owed",
+        "retries",
+        "in time",
+        "late",
+        "pause",
+        "unserved",
+        "held",
+        "worth",
+    ):
         table.add_column(name, justify="right")
     for row in rows:
         reasons = ", ".join(f"{name} {n:.0f}" for name, n in sorted(row.unserved.items()))
@@ -106,7 +115,7 @@
     return table
 
 
-def _render_html(rows: Sequence[RouteWorth], prices: Prices, counted: AttemptCounts) -> str:
+def _render_html(rows: Sequence[RouteWorth], prices: Prices, counts: AttemptCounts) -> str:
     """Return the report as an HTML page with a bar that shows each route's losses."""
     parts = [
         "<!doctype html><meta charset=utf-8><title>Served worth</title>",
@@ -114,9 +123,9 @@
         "<h1>Served worth</h1>",
         f"<p>{total_worth(rows, prices):.1%} of what callers were owed.",
     ]
-    if counted.is_partial:
-        parts.append(f"<p><b>Partial:</b> {counted.left_out} log lines are missing.")
-        parts += [f"<p>{html.escape(problem)}" for problem in counted.problems]
+    if counts.is_partial:
+        parts.append(f"<p><b>Partial:</b> {counts.left_out} log lines are missing.")
+        parts += [f"<p>{html.escape(problem)}" for problem in counts.problems]
     legend = [f'<b style="color:{code}">{name}</b>' for name, code in _COLOURS.items()]
     parts.append(f"<p>Losses: {', '.join(legend)}.<table>")
     parts += [_html_row(row, prices) for row in rows]
--- a/dockreach/declarations.py
+++ b/dockreach/declarations.py
@@ -177,7 +177,7 @@
 
     @cached_property
     def tier_names_by_rank(self) -> dict[int, str]:
-        """The name of the tier by rank."""
+        """The names of all tiers by their rank."""
         return {tier.rank: name for name, tier in self.tiers.items()}
 
     def organisation_of(self, key: str) -> str | None:
--- a/dockreach/settings.py
+++ b/dockreach/settings.py
@@ -24,6 +24,7 @@
         name: Name of the daemon; an agent has the name of its endpoint.
         role: ``entry``, which serves callers, or ``agent``, which runs beside an endpoint.
         hall: Data hall of the daemon.
+        region: Accepted but not used.
     """
 
     name: DaemonName
@@ -85,7 +86,7 @@
         waiting_bytes: Memory for the bodies of waiting requests.
         callers: Connections served at the same time.
         sender_s: Socket timeout of a caller's connection.
-        stalled_s: Accepted for existing settings files; no longer used.
+        stalled_s: Accepted but not used.
         queue: Requests that an agent queues.
         retention_s: How long an agent remembers finished requests and idempotency keys.
         grace_s: How long after its deadline a dispatched request may continue.
--- a/tests/test_service_worth.py
+++ b/tests/test_service_worth.py
@@ -52,7 +52,7 @@
     assert first == second
 
 
-def test_attempts_ended_by_the_caller_do_not_count() -> None:
+def test_attempts_that_callers_aborted_or_made_invalid_do_not_count() -> None:
     counts = AttemptCounts()
     counts.add(outcome_key(Outcome.REFUSED, "bad_key"), 5, 0.0)
     counts.add(outcome_key(Outcome.LEFT), 5, 0.0)
