--- a/dockreach/agent_tables.py
+++ b/dockreach/agent_tables.py
@@ -32,14 +32,15 @@
             lowest tier is displaced.
         max_short_cost: Maximum cost of a short request; see `Hold.cost`.
         retention_s: How long ended runs, claims and fences are kept.
-        max_answer_bytes: Memory for stored answers; those that ended first are dropped first.
+        max_answer_bytes: Memory for stored answers; those that ended first are dropped
+            first.
         reader_window_bytes: Bytes sent to an entry beyond those that it has acknowledged.
         max_dispatch_delay_s: Maximum time from commit to dispatch; a later run is not
             dispatched.
         decline_pause_s: Delay before a declined hold is queued again; it doubles with
             each decline.
-        orphan_timeout_s: Minimum time that a run without readers continues; it is not cancelled
-            before its deadline either.
+        orphan_timeout_s: Minimum time that a run without readers continues; it is not
+            cancelled before its deadline either.
     """
 
     grant_lease_s: float = 1.0
@@ -117,8 +118,8 @@
         state: The current claim, and the agent bound to the key, if any.
         entry: The entry that made the claim; empty if it was rebuilt from a peer.
         ran: Whether the bound agent itself reported that it ran the request.
-        other_bindings: Further agents that entries committed the request to, known from a
-            rebuild; each must be refuted (proved not to have run the request) before
+        other_bindings: Further agents that entries committed the request to, known from
+            a rebuild; each must be refuted (proved not to have run the request) before
             the key is free again.
     """
 
--- a/dockreach/commitment.py
+++ b/dockreach/commitment.py
@@ -262,7 +262,7 @@
 
 
 def mark_unclear(world: EntryWorld, req: RequestRow) -> None:
-    """Wait `unclear_s` for an unreachable agent to which a request was committed."""
+    """Mark a committed request as unclear while its agent is unreachable."""
     req.phase = Phase.UNCLEAR
     req.unclear_until = world.now + world.policy.unclear_s
     world.record_decision(req, "unclear", req.agent)
--- a/dockreach/endpoints.py
+++ b/dockreach/endpoints.py
@@ -95,10 +95,10 @@
 
 
 def create_adapter(
-    kind: str, url: str, sink: MessageSink, gate: ReadGate
+    kind: str, url: str, sink: MessageSink, may_read: ReadGate
 ) -> OpenAiEngine | PlainService:
     """Return the adapter for a declared kind of endpoint."""
-    conn = Connection(url, sink, gate)
+    conn = Connection(url, sink, may_read)
     return PlainService(conn) if kind == "service" else OpenAiEngine(conn)
 
 
@@ -218,7 +218,7 @@
 
 
 def _relay_events(conn: Connection, rid: str, response: Any, progress: list[int]) -> int:  # noqa: ANN401
-    """Report server-sent events, numbered by their ``id``; return their number."""
+    """Report server-sent events, numbered by their ``id``; return their count."""
     buffer = b""
     count = -1
     status = response.status
--- a/dockreach/granting.py
+++ b/dockreach/granting.py
@@ -131,7 +131,7 @@
     if world.closed or world.model.is_suspect(world.now) or world.now < world.backoff_until:
         return
     while True:
-        hold = world.queue.pick(lambda tier, lane: _has_room(world, tier, lane))
+        hold = world.queue.pick(lambda tier, lane: _has_free_slot(world, tier, lane))
         if hold is None:
             return
         world.queue.remove(hold)
@@ -147,7 +147,7 @@
 """How long slots stay reserved for a kind of request after the last hold of it."""
 
 
-def _has_room(world: AgentWorld, tier: int, lane: Lane) -> bool:
+def _has_free_slot(world: AgentWorld, tier: int, lane: Lane) -> bool:
     """Return whether a request of this tier and lane may use a slot now.
 
     Some slots are reserved for higher tiers, and from long requests some more for short
--- a/tests/test_granting.py
+++ b/tests/test_granting.py
@@ -53,138 +53,138 @@
 
 
 def test_higher_tier_is_granted_first() -> None:
-    bench = AgentHarness()
-    bench.close_window()
-    bench.put(hold("low", 2), hold("middle", 1), hold("top", 0))
-    bench.open_window(2)
-    assert bench.granted == ["top", "middle"]
+    harness = AgentHarness()
+    harness.close_window()
+    harness.put(hold("low", 2), hold("middle", 1), hold("top", 0))
+    harness.open_window(2)
+    assert harness.granted == ["top", "middle"]
 
 
 def test_organisations_in_tier_get_slots_by_share() -> None:
-    bench = AgentHarness()
-    bench.close_window()
+    harness = AgentHarness()
+    harness.close_window()
     holds = [hold(f"a{i}", org="a", share=3.0) for i in range(40)]
     holds += [hold(f"b{i}", org="b", share=1.0) for i in range(40)]
-    bench.put(*holds)
-    bench.open_window(40)
-    from_a = sum(rid.startswith("a") for rid in bench.granted)
-    assert len(bench.granted) == 40
+    harness.put(*holds)
+    harness.open_window(40)
+    from_a = sum(rid.startswith("a") for rid in harness.granted)
+    assert len(harness.granted) == 40
     assert from_a == 30
 
 
 def test_declined_grant_is_not_charged_to_its_organisation() -> None:
-    bench = AgentHarness()
-    bench.close_window()
-    bench.put(hold("a1", org="a"), hold("a2", org="a"), hold("b1", org="b"))
-    bench.open_window(1)
-    granted_rid = bench.granted[0]
-    number = bench.world.grants[granted_rid].number
-    bench.put(Decline(rid=granted_rid, number=number))
-    assert bench.granted[1].startswith(granted_rid[0])
+    harness = AgentHarness()
+    harness.close_window()
+    harness.put(hold("a1", org="a"), hold("a2", org="a"), hold("b1", org="b"))
+    harness.open_window(1)
+    granted_rid = harness.granted[0]
+    number = harness.world.grants[granted_rid].number
+    harness.put(Decline(rid=granted_rid, number=number))
+    assert harness.granted[1].startswith(granted_rid[0])
 
 
 def test_full_queue_displaces_newest_hold_of_lowest_tier() -> None:
-    bench = AgentHarness()
-    bench.close_window()
-    bench.world.policy.queue_limit = 2
-    bench.put(hold("low1", 2), hold("low2", 2), hold("top", 0))
-    assert bench.displaced == {"low2": Reason.SHED}
-    bench.put(hold("top2", 0))
-    assert bench.displaced["low1"] is Reason.SHED
-    bench.put(hold("low3", 2))
-    assert bench.displaced["low3"] is Reason.SHED
+    harness = AgentHarness()
+    harness.close_window()
+    harness.world.policy.queue_limit = 2
+    harness.put(hold("low1", 2), hold("low2", 2), hold("top", 0))
+    assert harness.displaced == {"low2": Reason.SHED}
+    harness.put(hold("top2", 0))
+    assert harness.displaced["low1"] is Reason.SHED
+    harness.put(hold("low3", 2))
+    assert harness.displaced["low3"] is Reason.SHED
 
 
 def test_floor_refuses_lower_tiers_until_it_expires() -> None:
-    bench = AgentHarness()
-    bench.close_window()
-    bench.put(hold("low", 2), hold("top", 0))
-    bench.put(Floor(tier=0, lease_ms=500))
-    assert bench.displaced == {"low": Reason.FLOOR}
-    bench.put(hold("low2", 1))
-    assert bench.displaced["low2"] is Reason.FLOOR
-    bench.put(hold("low3", 1), seconds=1.0)
-    assert "low3" not in bench.displaced
+    harness = AgentHarness()
+    harness.close_window()
+    harness.put(hold("low", 2), hold("top", 0))
+    harness.put(Floor(tier=0, lease_ms=500))
+    assert harness.displaced == {"low": Reason.FLOOR}
+    harness.put(hold("low2", 1))
+    assert harness.displaced["low2"] is Reason.FLOOR
+    harness.put(hold("low3", 1), seconds=1.0)
+    assert "low3" not in harness.displaced
 
 
 def test_hold_that_cannot_meet_its_deadline_is_rejected_before_prefill() -> None:
-    bench = AgentHarness()
-    bench.put(hold("late", tokens=1000, deadline_ms=1000))
-    assert bench.displaced == {"late": Reason.HOPELESS}
-    assert not bench.granted
+    harness = AgentHarness()
+    harness.put(hold("late", tokens=1000, deadline_ms=1000))
+    assert harness.displaced == {"late": Reason.HOPELESS}
+    assert not harness.granted
 
 
 def test_slot_is_reserved_for_short_requests_of_same_tier() -> None:
-    bench = AgentHarness()
-    bench.close_window()
+    harness = AgentHarness()
+    harness.close_window()
     longs = [hold(f"long{i}", 1, tokens=900) for i in range(6)]
-    bench.put(hold("short0", 1), *longs)
-    bench.open_window(4)
-    assert bench.granted[0] == "short0"
-    assert len(bench.granted) == 3
-    bench.put(hold("short1", 1))
-    assert bench.granted[-1] == "short1"
+    harness.put(hold("short0", 1), *longs)
+    harness.open_window(4)
+    assert harness.granted[0] == "short0"
+    assert len(harness.granted) == 3
+    harness.put(hold("short1", 1))
+    assert harness.granted[-1] == "short1"
 
 
 def test_no_slot_is_reserved_for_lower_tier() -> None:
-    bench = AgentHarness()
-    bench.close_window()
+    harness = AgentHarness()
+    harness.close_window()
     longs = [hold(f"long{i}", 1, tokens=900) for i in range(6)]
-    bench.put(hold("low", 2), *longs)
-    bench.open_window(4)
-    assert bench.granted == ["long0", "long1", "long2", "long3"]
+    harness.put(hold("low", 2), *longs)
+    harness.open_window(4)
+    assert harness.granted == ["long0", "long1", "long2", "long3"]
 
 
 def test_unreachable_engine_gets_no_grants_until_reachable() -> None:
-    bench = AgentHarness()
-    bench.put(EngineNotRun("x", unreachable=True))
-    bench.put(hold("r1"))
-    assert not bench.granted
-    assert bench.displaced == {"r1": Reason.STOPPING}
-    bench.put(EngineReachable())
-    bench.put(hold("r2"))
-    assert bench.granted == ["r2"]
+    harness = AgentHarness()
+    harness.put(EngineNotRun("x", unreachable=True))
+    harness.put(hold("r1"))
+    assert not harness.granted
+    assert harness.displaced == {"r1": Reason.STOPPING}
+    harness.put(EngineReachable())
+    harness.put(hold("r2"))
+    assert harness.granted == ["r2"]
 
 
 def test_backoff_of_busy_engine_doubles() -> None:
-    bench = AgentHarness()
+    harness = AgentHarness()
     for expected in (0.05, 0.1, 0.2):
-        bench.put(EngineNotRun("x"))
-        assert abs(bench.world.backoff_s - expected) < 1e-9
-    bench.put(hold("r1"))
-    assert not bench.granted
-    bench.put(seconds=1.0)
-    assert bench.granted == ["r1"]
+        harness.put(EngineNotRun("x"))
+        assert abs(harness.world.backoff_s - expected) < 1e-9
+    harness.put(hold("r1"))
+    assert not harness.granted
+    harness.put(seconds=1.0)
+    assert harness.granted == ["r1"]
 
 
 def test_only_lowest_waiting_tier_is_rejected_for_long_wait() -> None:
-    bench = AgentHarness()
-    bench.close_window()
+    harness = AgentHarness()
+    harness.close_window()
     many = [hold(f"low{i}", 2, deadline_ms=60_000) for i in range(10)]
-    bench.put(*many)
-    bench.put(seconds=5.0)
-    bench.put(hold("next", 2, deadline_ms=8000))
-    assert bench.displaced == {"next": Reason.HOPELESS}
+    harness.put(*many)
+    harness.put(seconds=5.0)
+    harness.put(hold("next", 2, deadline_ms=8000))
+    assert harness.displaced == {"next": Reason.HOPELESS}
     tops = [hold(f"top{i}", 1, deadline_ms=60_000) for i in range(10)]
-    bench.put(*tops)
-    bench.put(seconds=5.0)
-    bench.put(hold("middle", 1, deadline_ms=8000))
-    assert "middle" not in bench.displaced
+    harness.put(*tops)
+    harness.put(seconds=5.0)
+    harness.put(hold("middle", 1, deadline_ms=8000))
+    assert "middle" not in harness.displaced
 
 
 def test_suspect_engine_gets_no_grants() -> None:
-    bench = AgentHarness()
-    bench.world.model.record_start("running", 10, 20, bench.now)
-    bench.put(hold("r1"), seconds=30.0)
-    assert not bench.granted
-    bench.world.model.record_tokens("running", 1, bench.now)
-    bench.put()
-    assert bench.granted == ["r1"]
+    harness = AgentHarness()
+    harness.world.model.record_start("running", 10, 20, harness.now)
+    harness.put(hold("r1"), seconds=30.0)
+    assert not harness.granted
+    harness.world.model.record_tokens("running", 1, harness.now)
+    harness.put()
+    assert harness.granted == ["r1"]
 
 
 def test_lane_depends_on_cost() -> None:
-    bench = AgentHarness()
-    bench.close_window()
-    bench.put(hold("short", tokens=10), hold("long", tokens=1000, deadline_ms=300_000))
-    lanes = {item.rid: item.lane for item in bench.world.queue}
+    harness = AgentHarness()
+    harness.close_window()
+    harness.put(hold("short", tokens=10), hold("long", tokens=1000, deadline_ms=300_000))
+    lanes = {item.rid: item.lane for item in harness.world.queue}
     assert lanes == {"short": Lane.SHORT, "long": Lane.LONG}
--- a/tests/test_running.py
+++ b/tests/test_running.py
@@ -83,113 +83,115 @@
 
 
 def test_fence_voids_grant_before_its_lease_ends() -> None:
-    bench = AgentHarness()
-    grant = bench.grant()
-    bench.put(Attach("r1", 1, "org"), peer="n1")
-    reply = bench.messages_to(FenceReply, "n1")[-1]
+    harness = AgentHarness()
+    grant = harness.grant()
+    harness.put(Attach("r1", 1, "org"), peer="n1")
+    reply = harness.messages_to(FenceReply, "n1")[-1]
     assert isinstance(reply, FenceReply)
     assert reply.verdict is Verdict.NOT_RUN
-    bench.put(bench.commit(grant))
-    assert bench.messages_to(Refused)
-    assert not bench.started
+    harness.put(harness.commit(grant))
+    assert harness.messages_to(Refused)
+    assert not harness.started
 
 
 def test_commit_received_twice_runs_once() -> None:
-    bench = AgentHarness()
-    commit = bench.commit(bench.grant())
-    bench.put(commit, commit)
-    bench.put(commit)
-    assert bench.started == ["r1"]
+    harness = AgentHarness()
+    commit = harness.commit(harness.grant())
+    harness.put(commit, commit)
+    harness.put(commit)
+    assert harness.started == ["r1"]
 
 
 def test_chunks_received_out_of_order_are_sent_in_order() -> None:
-    bench = AgentHarness()
-    bench.start_run()
-    bench.put(chunk(2), chunk(0))
-    bench.put(chunk(1), chunk(1), EngineEnded("r1", True, 3))
-    numbers = [item.number for item in bench.messages_to(Chunk) if isinstance(item, Chunk)]
+    harness = AgentHarness()
+    harness.start_run()
+    harness.put(chunk(2), chunk(0))
+    harness.put(chunk(1), chunk(1), EngineEnded("r1", True, 3))
+    numbers = [
+        item.number for item in harness.messages_to(Chunk) if isinstance(item, Chunk)
+    ]
     assert numbers == [0, 1, 2]
-    end = bench.messages_to(Ended)[-1]
+    end = harness.messages_to(Ended)[-1]
     assert isinstance(end, Ended)
     assert end.whole
 
 
 def test_slow_reader_is_sent_at_most_its_window() -> None:
-    bench = AgentHarness()
-    bench.world.policy.reader_window_bytes = 1000
-    bench.start_run()
-    bench.put(*(chunk(number, b"y" * 100) for number in range(50)))
-    assert len(bench.messages_to(Chunk)) == 10
-    bench.put(ChunkAck("r1", 10))
-    assert len(bench.messages_to(Chunk)) == 20
+    harness = AgentHarness()
+    harness.world.policy.reader_window_bytes = 1000
+    harness.start_run()
+    harness.put(*(chunk(number, b"y" * 100) for number in range(50)))
+    assert len(harness.messages_to(Chunk)) == 10
+    harness.put(ChunkAck("r1", 10))
+    assert len(harness.messages_to(Chunk)) == 20
 
 
 def test_stored_answers_stay_within_memory_limit_and_run_stays_known() -> None:
-    bench = AgentHarness()
-    bench.world.policy.max_answer_bytes = 100
-    bench.start_run()
-    bench.put(chunk(0, b"y" * 500), EngineEnded("r1", True, 1))
-    bench.put(ChunkAck("r1", 1))
-    bench.put()
-    assert bench.world.kept_bytes == 0
-    bench.put(Attach("r1", 1, "org"), peer="n1")
-    end = bench.messages_to(Ended, "n1")[-1]
+    harness = AgentHarness()
+    harness.world.policy.max_answer_bytes = 100
+    harness.start_run()
+    harness.put(chunk(0, b"y" * 500), EngineEnded("r1", True, 1))
+    harness.put(ChunkAck("r1", 1))
+    harness.put()
+    assert harness.world.kept_bytes == 0
+    harness.put(Attach("r1", 1, "org"), peer="n1")
+    end = harness.messages_to(Ended, "n1")[-1]
     assert isinstance(end, Ended)
     assert end.reason is Reason.ANSWER_DROPPED
 
 
 def test_unacknowledged_chunks_are_never_dropped() -> None:
-    bench = AgentHarness()
-    bench.world.policy.max_answer_bytes = 100
-    bench.start_run()
-    bench.put(chunk(0, b"y" * 500), chunk(1, b"z" * 500))
-    bench.put()
-    assert bench.world.kept_bytes == 1000
+    harness = AgentHarness()
+    harness.world.policy.max_answer_bytes = 100
+    harness.start_run()
+    harness.put(chunk(0, b"y" * 500), chunk(1, b"z" * 500))
+    harness.put()
+    assert harness.world.kept_bytes == 1000
 
 
 def test_run_is_cancelled_only_by_its_last_reader() -> None:
-    bench = AgentHarness()
-    bench.start_run()
-    bench.put(Attach("r1", 1, "org"), peer="n1")
-    bench.put(Cancel("r1"))
-    assert not bench.cancelled
-    bench.put(Cancel("r1"), peer="n1")
-    assert bench.cancelled == ["r1"]
+    harness = AgentHarness()
+    harness.start_run()
+    harness.put(Attach("r1", 1, "org"), peer="n1")
+    harness.put(Cancel("r1"))
+    assert not harness.cancelled
+    harness.put(Cancel("r1"), peer="n1")
+    assert harness.cancelled == ["r1"]
 
 
 def test_run_without_entry_is_cancelled_only_after_its_deadline() -> None:
-    bench = AgentHarness()
-    bench.start_run()
-    bench.put(PeerDown())
-    bench.put(seconds=50.0)
-    assert not bench.cancelled
-    bench.put(seconds=50.0)
-    assert bench.cancelled == ["r1"]
+    harness = AgentHarness()
+    harness.start_run()
+    harness.put(PeerDown())
+    harness.put(seconds=50.0)
+    assert not harness.cancelled
+    harness.put(seconds=50.0)
+    assert harness.cancelled == ["r1"]
 
 
 def test_leaving_agent_displaces_new_holds() -> None:
-    bench = AgentHarness()
-    bench.world.leaving = True
-    bench.put(HOLD)
-    displaced = bench.messages_to(Displaced)[-1]
+    harness = AgentHarness()
+    harness.world.leaving = True
+    harness.put(HOLD)
+    displaced = harness.messages_to(Displaced)[-1]
     assert isinstance(displaced, Displaced)
     assert displaced.reason is Reason.STOPPING
-    assert not bench.messages_to(Grant)
+    assert not harness.messages_to(Grant)
 
 
 def test_grant_sent_before_leaving_stays_valid() -> None:
-    bench = AgentHarness()
-    grant = bench.grant()
-    bench.world.leaving = True
-    bench.put(bench.commit(grant))
-    assert bench.started == ["r1"]
+    harness = AgentHarness()
+    grant = harness.grant()
+    harness.world.leaving = True
+    harness.put(harness.commit(grant))
+    assert harness.started == ["r1"]
 
 
 def test_commit_with_superseded_grant_of_another_entry_is_refused() -> None:
-    bench = AgentHarness()
-    first_grant = bench.grant()
-    bench.put(HOLD, peer="n1")
-    assert bench.messages_to(Grant, "n1")
-    bench.put(bench.commit(first_grant))
-    assert bench.messages_to(Refused)
-    assert not bench.started
+    harness = AgentHarness()
+    first_grant = harness.grant()
+    harness.put(HOLD, peer="n1")
+    assert harness.messages_to(Grant, "n1")
+    harness.put(harness.commit(first_grant))
+    assert harness.messages_to(Refused)
+    assert not harness.started
--- a/tests/test_shedding.py
+++ b/tests/test_shedding.py
@@ -11,7 +11,7 @@
 from .cores import SimulatedNetwork, new_admit, new_network
 
 
-def new_net_without_slots(entries: int = 1) -> SimulatedNetwork:
+def new_network_without_slots(entries: int = 1) -> SimulatedNetwork:
     """Return entries and agents whose engines have no free slots."""
     net = new_network(entries=entries)
     for world in net.agents.values():
@@ -32,7 +32,7 @@
 
 
 def test_floor_rises_before_memory_sheds_a_higher_tier() -> None:
-    net = new_net_without_slots(entries=2)
+    net = new_network_without_slots(entries=2)
     net.entries["n0"].policy.waiting_bytes = 1000
     net.deliver("n1", large_request("far", 2))
     net.step()
@@ -52,7 +52,7 @@
 
 
 def test_full_memory_sheds_newest_request_of_lowest_tier() -> None:
-    net = new_net_without_slots()
+    net = new_network_without_slots()
     net.entries["n0"].policy.waiting_bytes = 1000
     net.entries["n0"].policy.floor_fraction = 10.0
     net.deliver("n0", large_request("middle1", 1))
@@ -65,7 +65,7 @@
 
 
 def test_request_is_shed_only_after_every_agent_displaced_it() -> None:
-    net = new_net_without_slots()
+    net = new_network_without_slots()
     first, second = net.agents.values()
     first.policy.queue_limit = 1
     net.deliver("n0", new_admit("a", tier=2, deadline=600))
@@ -80,7 +80,7 @@
 
 
 def test_shed_request_gets_not_run_verdict_and_retry_after() -> None:
-    net = new_net_without_slots()
+    net = new_network_without_slots()
     for world in net.agents.values():
         world.policy.queue_limit = 0
     net.deliver("n0", new_admit("a"))
@@ -92,7 +92,7 @@
 
 
 def test_request_that_misses_deadline_while_waiting_is_not_run() -> None:
-    net = new_net_without_slots()
+    net = new_network_without_slots()
     net.deliver("n0", new_admit("a", deadline=2.0))
     net.steps(8, 0.5)
     refusal = net.request("a").refusal
@@ -103,7 +103,7 @@
 
 
 def test_caller_leaving_while_waiting_removes_all_state() -> None:
-    net = new_net_without_slots()
+    net = new_network_without_slots()
     net.deliver("n0", new_admit("a"))
     net.steps(2)
     net.deliver("n0", CallerGone("a", net.request("a").caller))
