--- a/dockreach/entry.py
+++ b/dockreach/entry.py
@@ -33,7 +33,8 @@
 
     Attributes:
         messages: Messages to send, with the peer that receives each.
-        callers_to_wake: Requests with new chunks or an end for their callers, by caller number.
+        callers_to_wake: Requests with new chunks or an end for their callers, by caller
+            number.
     """
 
     messages: list[tuple[str, AnyMessage]]
--- a/dockreach/entry_tables.py
+++ b/dockreach/entry_tables.py
@@ -81,7 +81,7 @@
         caller: Number of the caller that waits for it.
         asked_agents: Agents that hold the request in their queues.
         answered_agents: Agents that have answered a hold with an offer or a grant.
-        offers_until: Until when the choice of a grant waits for answers of the other agents.
+        offers_until: Until when the choice of a grant waits for answers of other agents.
         rejections: Agents that dropped the hold, with their reasons.
         retry_ms: Shortest retry delay that an agent suggested when it dropped the hold.
         claim: Number of the claim on the idempotency key; ``None`` until the key's owner
@@ -184,23 +184,26 @@
     Attributes:
         max_ask_all: Largest pool of which all agents are asked at once.
         initial_agents: Agents that are asked first in a larger pool.
-        offers_wait_s: How long the choice of a grant waits for the answers of all asked agents.
+        offers_wait_s: How long the choice of a grant waits for the answers of all asked
+            agents.
         reask_delay_s: Delay before an agent that accepted no new work is asked again.
-        no_agent_timeout_s: How long a request waits while no agent of its pool accepts new work.
+        no_agent_timeout_s: How long a request waits while no agent of its pool accepts new
+            work.
         widen_delay_s: How long a request waits for a grant before more agents are asked.
         grace_s: Time past its deadline that a dispatched request may still run.
         unclear_s: How long an entry waits for a committed agent whose link was lost,
             before the caller gets an uncertain refusal.
         waiting_bytes: Memory limit for the bodies of waiting requests.
-        floor_fraction: Fraction of that memory above which the floor (the lowest accepted tier)
-            is raised.
+        floor_fraction: Fraction of that memory above which the floor (the lowest accepted
+            tier) is raised.
         floor_lease_s: How long a raised floor holds.
         max_attempts: Dispatches of one request; each but the last was proved not to have
             run.
         max_ended: Ended requests that are kept for the ``why`` query.
         decline_ratio: A grant is declined when the best offer costs less than this
             fraction of it.
-        max_early_chunks: Chunks of one response that are kept while an earlier one is missing.
+        max_early_chunks: Chunks of one response that are kept while an earlier one is
+            missing.
     """
 
     max_ask_all: int = 8
--- a/dockreach/limits.py
+++ b/dockreach/limits.py
@@ -54,8 +54,8 @@
         slots: Concurrent requests that this entry may admit.
         lent: Parts lent to other entries, which this entry does not use.
         borrowed: Parts borrowed from other entries.
-        tokens_left: Level of the token rate's bucket. It may fall below zero, as a request is
-            admitted while the level is positive and then subtracts all its tokens.
+        tokens_left: Level of the token rate's bucket. It may fall below zero, as a request
+            is admitted while the level is positive and then subtracts all its tokens.
         requests_left: Level of the request rate's bucket.
         running: Admitted requests that have not ended.
         refilled_at: When the buckets were last refilled.
@@ -108,11 +108,11 @@
     Args:
         entry: This entry's name.
         started: When this incarnation started, in monotonic seconds.
-        quiet_s: Time after the start in which loans of the predecessor may still run.
+        old_loans_s: Time after the start in which loans of the predecessor may still run.
         organisations: The declared organisations, by name.
         entries: The declared entries, which each have a share.
         shares: This entry's shares, by organisation.
-        asks: When each outstanding loan was requested, by organisation and number.
+        asked_at: When each outstanding loan was requested, by organisation and number.
     """
 
     entry: str
--- a/dockreach/link.py
+++ b/dockreach/link.py
@@ -117,11 +117,11 @@
     """All links of one daemon.
 
     Args:
-        events: The daemon, which handles what the links receive.
+        handler: The daemon, which handles what the links receive.
     """
 
-    def __init__(self, events: LinkHandler) -> None:
-        self._handler = events
+    def __init__(self, handler: LinkHandler) -> None:
+        self._handler = handler
         self._links: dict[str, _Link] = {}
         self._dialled: dict[str, bool] = {}
         self._newest_incarnations: dict[str, int] = {}
@@ -277,7 +277,7 @@
                 return False
         if messages:
             self._handler.receive(link.name, messages)
-        if not link.dialled and any(isinstance(row, Heartbeat) for row in messages):
+        if not link.dialled and any(isinstance(item, Heartbeat) for item in messages):
             link.push(self._handler.heartbeat())
             link.flush_requested.set()
         return True
@@ -291,11 +291,11 @@
         self._newest_incarnations[hello.peer] = hello.incarnation
         link.name = hello.peer
         link.incarnation = hello.incarnation
-        before = self._links.get(hello.peer)
+        previous = self._links.get(hello.peer)
         self._links[hello.peer] = link
-        if before is not None:
-            before.name = ""
-            before.close()
+        if previous is not None:
+            previous.name = ""
+            previous.close()
             self._handler.peer_down(hello.peer)
         self._handler.peer_up(hello)
         return True
--- a/dockreach/node.py
+++ b/dockreach/node.py
@@ -61,8 +61,8 @@
         vms: The newest VM list of the platform, or the part of it that an entry sent.
         roles: Roles of the linked peers, by name.
         leaving: Whether this daemon accepts no new work because it is about to stop.
-        confirming_peers: Peers that have reported no newer revision since the start or the last
-            pause.
+        confirming_peers: Peers that have reported no newer revision since the start or the
+            last pause.
         unconfirmed_since: Monotonic time of the start or the last pause.
         pauses: How often the process was stopped for a while.
     """
@@ -269,8 +269,8 @@
 
     def link_samples(self) -> Iterator[Sample]:
         """Return metric samples about links and ticks."""
-        count = self.links.traffic()
-        for name, value in count._asdict().items():
+        traffic = self.links.traffic()
+        for name, value in traffic._asdict().items():
             text = f"Traffic between daemons: {name.replace('_', ' ')}"
             yield Sample(f"dockreach_link_{name}_total", text, value, {})
         text = "Peers linked now"
--- a/dockreach/request_parsing.py
+++ b/dockreach/request_parsing.py
@@ -37,7 +37,10 @@
 
 
 class Completion(msgspec.Struct):
-    """The fields of a completion request that scheduling needs; others are ignored."""
+    """The fields of a completion request that scheduling needs.
+
+    The engine receives the body unchanged, with all other fields.
+    """
 
     model: str
     messages: list[ChatMessage] | None = None
--- a/dockreach/response_delivery.py
+++ b/dockreach/response_delivery.py
@@ -83,8 +83,8 @@
 
         Args:
             start: The server's start of a response.
-            is_buffered: Whether to wait for the complete response, instead of streaming it from
-                its first chunk on.
+            is_buffered: Whether to wait for the complete response, instead of streaming it
+                from its first chunk on.
         """
         try:
             row = self._wait_for_start(is_buffered)
@@ -104,15 +104,15 @@
         self._send_head(start, row, None)
         return _ClosingBody(self._stream(row), self._close)
 
-    def _wait_for_start(self, whole: bool) -> RequestRow | None:
+    def _wait_for_start(self, is_buffered: bool) -> RequestRow | None:
         while True:
             row = self._waiter.row
             if row is not None:
                 if row.phase is Phase.DONE:
                     return row
-                if row.ready_chunks and not whole:
+                if row.ready_chunks and not is_buffered:
                     return row
-                if row.ready_chunks and whole:
+                if row.ready_chunks and is_buffered:
                     self._acknowledge_buffered(row)
             if not self._wait_for_update():
                 return None
@@ -184,8 +184,8 @@
     def _report_delivered(self, row: RequestRow, chunks: int, size: int) -> None:
         self._delivered_chunks += chunks
         if row.phase is not Phase.DONE:
-            taken = ChunksDelivered(row.rid, row.caller, self._delivered_chunks, size)
-            self._node.ticker.put_later("", taken)
+            message = ChunksDelivered(row.rid, row.caller, self._delivered_chunks, size)
+            self._node.ticker.put_later("", message)
 
     def _abort_stream(self, row: RequestRow, refusal: Refusal) -> Iterator[bytes]:
         """Send the caller of a stream an error event, and break off the response."""
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -18,7 +18,7 @@
     """Ends the loop under test."""
 
 
-def record_call_durations(
+def record_call_timeouts(
     node: EntryNode, monkeypatch: pytest.MonkeyPatch, count: int
 ) -> list[float]:
     """Return the timeouts of the first calls for the configuration, which all fail."""
@@ -48,6 +48,6 @@
     """
     text = EXAMPLE.read_text().replace("[platform]", f"[platform]\n{setting}")
     node = EntryNode(parse(text))
-    timeouts = record_call_durations(node, monkeypatch, 4)
+    timeouts = record_call_timeouts(node, monkeypatch, 4)
     assert max(timeouts) < 0.85 * CONFIG_APPLY_DEADLINE_S
     assert min(timeouts) > 1.0
