--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -149,29 +149,31 @@
     program: Path
     work_directory: Path
 
-    def run_day(self, play: DayRun) -> DayResult:
+    def run_day(self, day_run: DayRun) -> DayResult:
         """Run one day.
 
         Raises:
             click.ClickException: The bench printed no value for the day.
         """
-        why = f"Ablation trial: without {play.mechanism}"
-        if play.mechanism == ALL_ON:
+        why = f"Ablation trial: without {day_run.mechanism}"
+        if day_run.mechanism == ALL_ON:
             why = "Ablation trial: all on"
         done = subprocess.run(  # noqa: S603
             [
-                *(str(self.program), "run", str(play.site), play.day),
-                *("--seed", str(play.seed), "--no-cpu", "--why", why),
+                *(str(self.program), "run", str(day_run.site), day_run.day),
+                *("--seed", str(day_run.seed), "--no-cpu", "--why", why),
             ],
-            cwd=self.copy_directory(play.mechanism),
+            cwd=self.copy_directory(day_run.mechanism),
             capture_output=True,
             text=True,
             check=False,
         )
-        parsed = parse_day(done.stdout, play.day)
+        parsed = parse_day(done.stdout, day_run.day)
         if parsed is None:
-            raise click.ClickException(f"{play}: {done.stdout[-500:]}{done.stderr[-500:]}")
-        return DayResult(play, *parsed)
+            raise click.ClickException(
+                f"{day_run}: {done.stdout[-500:]}{done.stderr[-500:]}"
+            )
+        return DayResult(day_run, *parsed)
 
     def copy_directory(self, mechanism: str) -> Path:
         """Return the directory of the copy without a mechanism."""
@@ -197,30 +199,32 @@
     return float(match[1]), " ".join(rules)
 
 
-def table(played: Iterable[DayResult]) -> str:
+def table(results: Iterable[DayResult]) -> str:
     """Return a table of differences to all enabled: mean, deviation, days, broken rules."""
-    value_of = {row.run: row.value for row in played}
-    broken = {row.run: row.broken_rules for row in played if row.broken_rules}
-    names = dict.fromkeys(play.mechanism for play in value_of if play.mechanism != ALL_ON)
-    sites = dict.fromkeys(play.site for play in value_of)
+    value_of = {row.run: row.value for row in results}
+    broken = {row.run: row.broken_rules for row in results if row.broken_rules}
+    names = dict.fromkeys(
+        day_run.mechanism for day_run in value_of if day_run.mechanism != ALL_ON
+    )
+    sites = dict.fromkeys(day_run.site for day_run in value_of)
     lines = [
         "| without | " + " | ".join(site.stem for site in sites) + " | rules broken |",
         "|---" * (len(sites) + 2) + "|",
     ]
     for name in names:
         cells = [_difference_cell(value_of, name, site) for site in sites]
-        rules = {broken[play] for play in broken if play.mechanism == name}
+        rules = {broken[day_run] for day_run in broken if day_run.mechanism == name}
         lines.append(f"| {name} | {' | '.join(cells)} | {' '.join(sorted(rules))} |")
     means = [_mean_value(value_of, site) for site in sites]
-    lines.append(f"| nothing (mean worth) | {' | '.join(means)} | |")
+    lines.append(f"| nothing (mean value) | {' | '.join(means)} | |")
     return "\n".join(lines) + "\n"
 
 
 def _difference_cell(value_of: dict[DayRun, float], name: str, site: Path) -> str:
     differences = [
-        value - value_of[play._replace(mechanism=ALL_ON)]
-        for play, value in value_of.items()
-        if play.mechanism == name and play.site == site
+        value - value_of[day_run._replace(mechanism=ALL_ON)]
+        for day_run, value in value_of.items()
+        if day_run.mechanism == name and day_run.site == site
     ]
     spread = statistics.stdev(differences) if len(differences) > 1 else 0.0
     return f"{statistics.mean(differences):+.4f} ({spread:.4f}, {len(differences)})"
@@ -229,8 +233,8 @@
 def _mean_value(value_of: dict[DayRun, float], site: Path) -> str:
     values = [
         value
-        for play, value in value_of.items()
-        if play.mechanism == ALL_ON and play.site == site
+        for day_run, value in value_of.items()
+        if day_run.mechanism == ALL_ON and day_run.site == site
     ]
     return f"{statistics.mean(values):.4f}"
 
@@ -269,13 +273,13 @@
         bench.build_copy(edit)
     names = [ALL_ON, *(edit.rule for edit in chosen)]
     paths = [site.resolve() for site in sites]
-    plays = [DayRun(*row) for row in itertools.product(names, paths, days, seeds)]
+    day_runs = [DayRun(*row) for row in itertools.product(names, paths, days, seeds)]
     with ThreadPoolExecutor(jobs) as pool:
-        played = list(pool.map(bench.run_day, plays))
-    results = table(played)
-    click.echo(results)
+        results = list(pool.map(bench.run_day, day_runs))
+    text = table(results)
+    click.echo(text)
     if keep:
-        RESULTS.write_text(f"# Value of each mechanism\n\n{results}")
+        RESULTS.write_text(f"# Value of each mechanism\n\n{text}")
         _copy_journals(bench, names)
 
 
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -107,7 +107,7 @@
     ends = [row.sent_at + row.total_s for row in outcomes if row.is_in_time]
     max_served *= max(ends, default=1.0)
     in_time = {row.rid for row in outcomes if row.is_in_time}
-    wasted = total = second = 0
+    wasted = total = repeated = 0
     ran: dict[str, int] = {}
     for log in logs.values():
         for rid, entry in log.items():
@@ -117,8 +117,10 @@
                 continue
             total += entry["prefilled"]
             wasted += 0 if rid in in_time else entry["prefilled"]
-    second = sum(count > 1 for count in ran.values())
-    wrong = sum(row.verdict == "not_run" and row.rid in ran for row in outcomes if row.rid)
+    repeated = sum(count > 1 for count in ran.values())
+    wrong_verdicts = sum(
+        row.verdict == "not_run" and row.rid in ran for row in outcomes if row.rid
+    )
     first = [row.first_token_s for row in outcomes if row.first_token_s is not None]
     top = [
         row.first_token_s
@@ -141,8 +143,8 @@
         prefill=total,
         p95_first_s=percentile(first, 0.95),
         p95_first_top_s=percentile(top, 0.95),
-        wrong_verdicts=wrong,
-        second_runs=second,
+        wrong_verdicts=wrong_verdicts,
+        second_runs=repeated,
         inversions=_count_inversions(outcomes),
         errors=errors,
     )
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -62,13 +62,15 @@
             is_independent=policy is LimitPolicy.EQUAL_SHARES,
         )
         self.table = EndpointTable()
-        entry = Published("e", "work", "10.1.0.1:80", "hall", ENDPOINT_SLOTS, leaving=False)
-        self.table.publish(entry, 0.0)
+        published = Published(
+            "e", "work", "10.1.0.1:80", "hall", ENDPOINT_SLOTS, leaving=False
+        )
+        self.table.publish(published, 0.0)
         self.send_guard = SendGuard(coordinators, self.table, rng=random.Random(number))
 
     @property
     def row(self) -> EndpointRow:
-        """The endpoint."""
+        """The only endpoint."""
         (row,) = self.table
         return row
 
@@ -81,19 +83,19 @@
     """Simulate one policy; all entries know the limit from the start."""
     rng = random.Random(seed)
     shares = [1 / (number + 1) for number in range(entries)]
-    cores = [_SimulatedEntry(number, entries, policy) for number in range(entries)]
-    for core in cores:
-        core.row.advertised.limit.apply(LimitReport(rate, -0.1, 0.0))
+    all_entries = [_SimulatedEntry(number, entries, policy) for number in range(entries)]
+    for entry in all_entries:
+        entry.row.advertised.limit.apply(LimitReport(rate, -0.1, 0.0))
     times = []
     for step in range(round(LENGTH_S / STEP_S)):
         now = step * STEP_S
         if rng.random() > LOAD_FACTOR * rate * STEP_S:
             continue
-        (core,) = rng.choices(cores, shares)
+        (entry,) = rng.choices(all_entries, shares)
         if policy is LimitPolicy.COORDINATOR:
-            core = cores[0]
-        if core.send_guard.send_block(core.row, now) is None:
-            core.send_guard.record_send(core.row, now)
+            entry = all_entries[0]
+        if entry.send_guard.send_block(entry.row, now) is None:
+            entry.send_guard.record_send(entry.row, now)
             times.append(now)
     worst = max(sum(at <= when < at + WINDOW_S for when in times) for at in times)
     return LimitResult(
--- a/benchmarks/replays/fleet.py
+++ b/benchmarks/replays/fleet.py
@@ -315,11 +315,11 @@
             self.clock.call_at(started_at - 2 + 0.01 * number, entry.send_digest)
             self.clock.call_at(started_at - 1 + 0.001 * number, entry.run_periodic_tasks)
         for kind in KINDS:
-            for when, count in self.pattern.arrivals(
+            for arrives_s, count in self.pattern.arrivals(
                 kind, self._initial_engines, self._rng
             ):
                 for _ in range(count):
-                    self.clock.call_at(started_at + when, self._new_arrival(kind))
+                    self.clock.call_at(started_at + arrives_s, self._new_arrival(kind))
         for change in self.pattern.changes:
             self.clock.call_at(
                 started_at + change.at_s, partial(self._apply_change, change.fraction)
--- a/benchmarks/replays/patterns.py
+++ b/benchmarks/replays/patterns.py
@@ -139,6 +139,6 @@
     LoadPattern("burst of all kinds", bursts=(Burst(6, 10, 1.8),)),
     LoadPattern("burst of drafts", bursts=(Burst(6, 12, 2.2, "draft"),)),
     LoadPattern("burst of chats", bursts=(Burst(4, 14, 2.5, "chat"),)),
-    LoadPattern("a quarter of the engines goes", changes=(EngineChange(8, -0.25),)),
+    LoadPattern("a quarter of the engines stops", changes=(EngineChange(8, -0.25),)),
     LoadPattern("a third more engines, empty", load=1.25, changes=(EngineChange(8, 0.33),)),
 )
--- a/dockreach/demo.py
+++ b/dockreach/demo.py
@@ -91,8 +91,8 @@
     console.print(f"requests run twice: {repeated}")
     left_over = [process.name for process in processes if process_exists(process.pid)]
     console.print(f"processes left behind: {len(left_over)}")
-    whole = sum(row.is_complete for row in outcomes)
-    sys.exit(0 if outcomes and whole and not repeated and not left_over else 1)
+    complete = sum(row.is_complete for row in outcomes)
+    sys.exit(0 if outcomes and complete and not repeated and not left_over else 1)
 
 
 if __name__ == "__main__":
--- a/dockreach/standin_engine.py
+++ b/dockreach/standin_engine.py
@@ -287,7 +287,7 @@
         run = self.engine.submit(rid, priority, completion)
         if completion.stream:
             return self._stream(run, 0, start, direct=not environ.get("HTTP_X_REQUEST_ID"))
-        return self._respond_at_once(run, start)
+        return self._respond_when_finished(run, start)
 
     def _serve_run(
         self, method: str, rid: str, environ: dict[str, Any], start: StartResponse
@@ -301,7 +301,7 @@
         query = parse_qs(environ.get("QUERY_STRING", ""))
         return self._stream(run, int(query.get("offset", ["0"])[0]), start)
 
-    def _respond_at_once(self, run: Run, start: StartResponse) -> Iterator[bytes]:
+    def _respond_when_finished(self, run: Run, start: StartResponse) -> Iterator[bytes]:
         while not run.is_finished and not run.is_cancelled:
             run.progress.wait(1.0)
         text = "".join(run.token(index) for index in range(run.produced))
--- a/tests/test_ablation.py
+++ b/tests/test_ablation.py
@@ -37,4 +37,4 @@
     lines = table(rows).splitlines()
     assert lines[0] == "| without | north | rules broken |"
     assert lines[2] == "| x | -0.0750 (0.0354, 2) | QUOTA |"
-    assert lines[3] == "| nothing (mean worth) | 0.6000 | |"
+    assert lines[3] == "| nothing (mean value) | 0.6000 | |"
