--- a/dockreach/direct/request_handler.py
+++ b/dockreach/direct/request_handler.py
@@ -86,8 +86,8 @@
             return Refusal(Verdict.NOT_RUN, Reason.BAD_REQUEST, "no request id")
         plan = self._make_plan(route, organisation)
         self._plan = plan
-        if plan.allowed_regions is not None and not self._ctx.halls_in(
-            plan.allowed_regions
+        if plan.permitted_regions is not None and not self._ctx.halls_in(
+            plan.permitted_regions
         ):
             return Refusal(Verdict.NOT_RUN, Reason.NO_REGION, "no region may run it")
         self._ctx.retry_budget.record_request(plan.service, self._ctx.now())
@@ -122,7 +122,7 @@
             deadline=deadline,
             first_attempt_at=req.arrived_at - since_first_attempt_s,
             fingerprint=fingerprint_of(req, organisation.name if organisation else ""),
-            allowed_regions=_allowed_regions(route, organisation),
+            permitted_regions=_permitted_regions(route, organisation),
         )
 
     def _quota_tokens(self, organisation: Organisation | None) -> int:
@@ -185,8 +185,8 @@
             deadline=plan.deadline,
             estimated_first_attempt_at=plan.first_attempt_at,
             allowed_halls=None
-            if plan.allowed_regions is None
-            else self._ctx.halls_in(plan.allowed_regions),
+            if plan.permitted_regions is None
+            else self._ctx.halls_in(plan.permitted_regions),
             fingerprint=plan.fingerprint,
         )
 
@@ -234,7 +234,7 @@
         summary.emit(event, outcome, refusal, revision=self._revision.number)
 
 
-def _allowed_regions(
+def _permitted_regions(
     route: Route, organisation: Organisation | None
 ) -> frozenset[str] | None:
     """Return the regions in which a request may run; ``None`` for all.
--- a/dockreach/direct/request_plan.py
+++ b/dockreach/direct/request_plan.py
@@ -17,7 +17,7 @@
         deadline: Monotonic time at which the caller or the route gives up, in seconds.
         first_attempt_at: Monotonic time of its caller's first attempt, in seconds.
         fingerprint: Identifies the request; the same for all attempts of its caller.
-        allowed_regions: Regions in which it may run; ``None`` for all.
+        permitted_regions: Regions in which it may run; ``None`` for all.
     """
 
     route: Route
@@ -27,7 +27,7 @@
     deadline: float
     first_attempt_at: float
     fingerprint: bytes
-    allowed_regions: frozenset[str] | None = None
+    permitted_regions: frozenset[str] | None = None
 
     @property
     def organisation_name(self) -> str:
