--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -96,7 +96,8 @@
 
     Attributes:
         addresses: Returns the name and address of each entry.
-        newest_version: Returns the newest configuration version that every entry must have applied.
+        newest_version: Returns the newest configuration version that every entry must have
+            applied.
         rng: Draws the requests.
         max_pause_s: Longest pause of a caller between requests, in seconds.
         is_stopped: Whether callers stop after their current request.
--- a/tests/soak/cluster.py
+++ b/tests/soak/cluster.py
@@ -162,7 +162,7 @@
     # Actions of the operator and of endpoints.
 
     def publish_configuration(self) -> None:
-        """Publish the next configuration; it moves the plain route to the other service."""
+        """Publish the next configuration; it moves route ``once`` to the other service."""
         self._version += 1
         service = SERVICES[self._version % len(SERVICES)]
         content = _configuration(
--- a/tests/soak/entries.py
+++ b/tests/soak/entries.py
@@ -65,7 +65,7 @@
     Attributes:
         name: The name of the entry.
         ip: Its own loopback address.
-        unexpected_exits: Exit codes of exits that no signal from the soak caused.
+        unexpected_exits: Exit codes of exits without a SIGTERM or SIGKILL from the soak.
     """
 
     def __init__(self, number: int, net: int, store: str, folder: Path) -> None:
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -195,7 +195,7 @@
 
 
 def _any_harm(cluster: Cluster) -> LinkFault:
-    return cluster.rng.choice([harm for harm in LinkFault if harm is not LinkFault.NONE])
+    return cluster.rng.choice([fault for fault in LinkFault if fault is not LinkFault.NONE])
 
 
 def _name_limit(cluster: Cluster) -> None:
--- a/tests/soak/invariants.py
+++ b/tests/soak/invariants.py
@@ -82,18 +82,19 @@
     Attributes:
         outcomes: Requests of callers and their results.
         endpoint_log: Requests that reached endpoints, and their runs.
-        route_changes: The time of each configuration and the service to which it sends plain
-            requests, oldest first.
+        route_changes: The time of each configuration and the service to which it routes
+            requests of kind ``once``, oldest first.
         draining_since: When each worker was listed as draining in the store.
         evacuations: Evacuations, by data hall.
         cold_spans: Spans in which workers were cold, by worker.
         halls: The data hall of each worker.
         store_faults: Faults of the store or of connections to it.
         planned_stops: Planned stops, by entry.
-        disruptions: Other faults that may cut responses, by entry; an empty name stands for all.
+        disruptions: Other faults that may cut responses, by entry; an empty name stands
+            for all entries.
         token_limit: Tokens that the limited organisation may use in a window.
         window_s: Length of that window, in seconds.
-        unexpected_exits: Exits of entries that no fault caused.
+        unexpected_exits: Exits of entries that were neither stopped nor killed.
         internal_errors: Internal errors that entries logged.
         stalled_s: For how long the soak's own process stalled, in seconds.
         recovered_from: Time at which all entries must have recovered from the last fault.
@@ -127,7 +128,7 @@
         "a response is not the complete one of its own request": _wrong_responses(observed),
         "ran more than once": _repeated_runs(observed, by_rid),
         "refused as not run, but ran": _false_refusals(observed, by_rid),
-        "an endpoint received work long after it was listed as draining": _work_while_draining(
+        "an endpoint received work long after it started draining": _work_while_draining(
             observed
         ),
         "an evacuated hall received work long after its evacuation": _work_in_evacuated(
@@ -183,7 +184,7 @@
 
 
 def _wrong_responses(observed: Observations) -> list[str]:
-    """Return successful responses with content that belongs to another request."""
+    """Return successful responses whose content is not the expected one."""
     return [
         _describe(row)
         for row in observed.outcomes
@@ -192,7 +193,7 @@
 
 
 def _matches_request(row: Outcome) -> bool:
-    """Return whether a response has the content that belongs to its request.
+    """Return whether the content of a response is the one expected for its request.
 
     A stream that was cut must be a prefix of the expected one.
     """
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -106,9 +106,9 @@
     logs = (
         [f"{entry.name}:\n{entry.log_tail()}" for entry in cluster.entries] if found else []
     )
-    asked = len(cluster.observations.outcomes)
+    sent = len(cluster.observations.outcomes)
     return Result(
-        seed, found, faults, asked, len(served), logs, cluster.observations.stalled_s
+        seed, found, faults, sent, len(served), logs, cluster.observations.stalled_s
     )
 
 
--- a/tests/soak/test_invariants.py
+++ b/tests/soak/test_invariants.py
@@ -38,9 +38,9 @@
 
 
 def make_run(
-    rid: str, *, worker: str = "i-1", service: str = "a", began: float = 10.1
+    rid: str, *, worker: str = "i-1", service: str = "a", started_at: float = 10.1
 ) -> Run:
-    return Run(rid, worker, service, "limited", 100, began)
+    return Run(rid, worker, service, "limited", 100, started_at)
 
 
 def observe(*outcomes: Outcome, runs: tuple[Run, ...] = ()) -> Observations:
@@ -93,69 +93,69 @@
 
 
 def test_work_at_a_draining_endpoint_is_detected_unless_the_store_failed() -> None:
-    found = observe(runs=(make_run("once-1", began=13.0),))
-    found.draining_since["i-1"] = 10.0
-    assert "draining" in violations(found)[0]
-    found.store_faults.append(Span("store", 9.0, 9.5))
-    assert "draining" in violations(found)[0]
-    found.store_faults.append(Span("store", 9.0, 10.5))
-    assert violations(found) == []
+    observed = observe(runs=(make_run("once-1", started_at=13.0),))
+    observed.draining_since["i-1"] = 10.0
+    assert "draining" in violations(observed)[0]
+    observed.store_faults.append(Span("store", 9.0, 9.5))
+    assert "draining" in violations(observed)[0]
+    observed.store_faults.append(Span("store", 9.0, 10.5))
+    assert violations(observed) == []
 
 
 def test_run_at_a_service_of_no_applied_configuration_is_detected() -> None:
-    found = observe(make_outcome("once-1"), runs=(make_run("once-1", service="b"),))
-    assert "no applied configuration" in violations(found)[0]
-    found.route_changes.append((9.0, "b"))
-    assert violations(found) == []
-    found.route_changes[:] = [(0.0, "b"), (7.5, "a")]
-    assert violations(found)
+    observed = observe(make_outcome("once-1"), runs=(make_run("once-1", service="b"),))
+    assert "no applied configuration" in violations(observed)[0]
+    observed.route_changes.append((9.0, "b"))
+    assert violations(observed) == []
+    observed.route_changes[:] = [(0.0, "b"), (7.5, "a")]
+    assert violations(observed)
 
 
 def test_refusal_of_a_route_that_must_be_known_is_detected() -> None:
-    found = observe(make_outcome("new-1", status=404, path="/new-7/x"))
-    assert "older configuration" in violations(found)[0]
-    found.store_faults.append(Span("store", 7.0, 7.5))
-    assert violations(found) == []
+    observed = observe(make_outcome("new-1", status=404, path="/new-7/x"))
+    assert "older configuration" in violations(observed)[0]
+    observed.store_faults.append(Span("store", 7.0, 7.5))
+    assert violations(observed) == []
 
 
 def test_request_cut_by_a_planned_stop_is_detected() -> None:
     row = make_outcome("draft-1", is_whole=False, response_body=b"")
-    found = observe(row, runs=(make_run("draft-1"),))
-    found.planned_stops.append(Span("entry-0", 9.0, 17.0))
-    assert "planned stop" in violations(found)[0]
-    found.disruptions.append(Span("entry-0", 10.0, 11.0))
-    assert violations(found) == []
-    found.disruptions.clear()
+    observed = observe(row, runs=(make_run("draft-1"),))
+    observed.planned_stops.append(Span("entry-0", 9.0, 17.0))
+    assert "planned stop" in violations(observed)[0]
+    observed.disruptions.append(Span("entry-0", 10.0, 11.0))
+    assert violations(observed) == []
+    observed.disruptions.clear()
     row.ended_at = row.sent_at + 3.1
-    assert violations(found) == []
+    assert violations(observed) == []
 
 
 def test_work_for_a_caller_that_has_left_is_detected() -> None:
     row = make_outcome("safe-1", status=0, is_whole=False, abandoned_at=10.2)
-    late = make_run("safe-1", began=10.9)
+    late = make_run("safe-1", started_at=10.9)
     assert "after its caller" in violations(observe(row, runs=(late,)))[0]
-    long = make_run("safe-1", began=10.1)
+    long = make_run("safe-1", started_at=10.1)
     long.ended_at = 11.5
-    found = observe(row, runs=(long,))
-    assert "worked on" in violations(found)[0]
-    found.disruptions.append(Span("entry-0", 8.0, 9.0))
-    assert violations(found) == []
+    observed = observe(row, runs=(long,))
+    assert "worked on" in violations(observed)[0]
+    observed.disruptions.append(Span("entry-0", 8.0, 9.0))
+    assert violations(observed) == []
 
 
 def test_configuration_must_be_applied_soon_after_the_store_recovers() -> None:
     row = make_outcome("once-1", sent_at=13.5)
-    found = observe(row, runs=(make_run("once-1", began=13.6),))
-    found.route_changes[:] = [(0.0, "a"), (9.0, "b")]
-    found.store_faults.append(Span("store", 8.0, 11.0))
-    assert violations(found) == []
-    found.store_faults[0].end = 10.0
-    assert "no applied configuration" in violations(found)[0]
+    observed = observe(row, runs=(make_run("once-1", started_at=13.6),))
+    observed.route_changes[:] = [(0.0, "a"), (9.0, "b")]
+    observed.store_faults.append(Span("store", 8.0, 11.0))
+    assert violations(observed) == []
+    observed.store_faults[0].end = 10.0
+    assert "no applied configuration" in violations(observed)[0]
 
 
 def test_token_limit_exceeded_in_any_window_is_detected() -> None:
-    within = tuple(make_run(f"safe-{i}", began=10.0 + 3 * i) for i in range(9))
+    within = tuple(make_run(f"safe-{i}", started_at=10.0 + 3 * i) for i in range(9))
     assert violations(observe(runs=within)) == []
-    over = (*within, make_run("safe-9", began=34.1))
+    over = (*within, make_run("safe-9", started_at=34.1))
     assert "token limit" in violations(observe(runs=over))[0]
 
 
@@ -165,39 +165,41 @@
 
 
 def test_unexpected_exit_of_an_entry_is_detected() -> None:
-    found = observe()
-    found.unexpected_exits.append("entry-0: -11")
-    assert "exited unexpectedly" in violations(found)[0]
+    observed = observe()
+    observed.unexpected_exits.append("entry-0: -11")
+    assert "exited unexpectedly" in violations(observed)[0]
 
 
 def test_internal_error_is_detected() -> None:
-    found = observe()
-    found.internal_errors.append(
+    observed = observe()
+    observed.internal_errors.append(
         'entry-0: {"event": 731, "message": "ZeroDivisionError()"}'
     )
-    assert "logged an internal error" in violations(found)[0]
+    assert "logged an internal error" in violations(observed)[0]
 
 
 def test_work_in_an_evacuated_hall_is_detected() -> None:
-    found = observe(make_outcome("once-1"), runs=(make_run("once-1", began=13.0),))
-    found.halls = {"i-1": "hall1"}
-    found.evacuations = [Span("hall1", 10.0, 14.0)]
-    assert "evacuated hall" in violations(found)[0]
-    found.evacuations = [Span("hall1", 11.5, 14.0)]
-    assert violations(found) == []
-    found.evacuations = [Span("hall1", 8.0, 12.9)]
-    assert violations(found) == []
+    observed = observe(make_outcome("once-1"), runs=(make_run("once-1", started_at=13.0),))
+    observed.halls = {"i-1": "hall1"}
+    observed.evacuations = [Span("hall1", 10.0, 14.0)]
+    assert "evacuated hall" in violations(observed)[0]
+    observed.evacuations = [Span("hall1", 11.5, 14.0)]
+    assert violations(observed) == []
+    observed.evacuations = [Span("hall1", 8.0, 12.9)]
+    assert violations(observed) == []
 
 
 def test_too_many_requests_at_a_cold_endpoint_are_detected() -> None:
     runs = tuple(
-        replace(make_run(f"safe-{number}", began=10 + number / 40), organisation="free")
+        replace(
+            make_run(f"safe-{number}", started_at=10 + number / 40), organisation="free"
+        )
         for number in range(21)
     )
-    found = observe(*(make_outcome(item.rid) for item in runs), runs=runs)
-    assert violations(found) == []
-    found.cold_spans = [Span("i-1", 9.0, 12.0)]
-    assert "a cold endpoint" in violations(found)[0]
+    observed = observe(*(make_outcome(item.rid) for item in runs), runs=runs)
+    assert violations(observed) == []
+    observed.cold_spans = [Span("i-1", 9.0, 12.0)]
+    assert "a cold endpoint" in violations(observed)[0]
 
 
 def crashing_attempts(count: int, *, gap_s: float) -> tuple[list[Outcome], tuple[Run, ...]]:
@@ -208,11 +210,11 @@
         row = make_outcome(rid, status=502, is_whole=False, sent_at=at)
         row.is_crashing, row.request_body, row.ended_at = True, b"deadly 0", at + 0.1
         rows.append(row)
-        ended = replace(
-            make_run(rid, worker=f"i-{number}", began=at + 0.01), organisation=""
+        crashed_run = replace(
+            make_run(rid, worker=f"i-{number}", started_at=at + 0.01), organisation=""
         )
-        ended.ended_at = at + 0.05
-        runs.append(ended)
+        crashed_run.ended_at = at + 0.05
+        runs.append(crashed_run)
     return rows, tuple(runs)
 
 
--- a/tests/soak/workers.py
+++ b/tests/soak/workers.py
@@ -39,7 +39,7 @@
         rid: The id of the request.
         worker: Name of the endpoint.
         tokens: Tokens that count against the organisation's limit.
-        started_at: Monotonic time, in seconds.
+        started_at: Monotonic time at which the endpoint started it, in seconds.
         ended_at: Monotonic time at which the endpoint stopped working on it, in seconds.
     """
 
@@ -74,7 +74,7 @@
         rid: The id of the request.
         worker: The incarnation of the endpoint, see `Worker.incarnation`.
         at: Monotonic time of the response, in seconds.
-        limit_per_s: Requests per second that it accepts; `NO_LIMIT` if it advertised no limit.
+        limit_per_s: Requests per second that it accepts; `NO_LIMIT` if it advertised none.
         limit_until: Monotonic time until which it advertises that limit, in seconds.
         is_leaving: Whether it announced that it leaves.
         backoff_s: How long the entry must not send to it, in seconds; 0 if it may.
@@ -129,20 +129,20 @@
         born: Start time, in milliseconds; 0 if it does not publish one.
         failure_fraction: Fraction of its requests to which it responds with 500.
         slowdown: Factor by which it is slower than usual.
-        limit_per_s: Requests per second that it advertises in responses; `NO_LIMIT` for none.
+        limit_per_s: Requests per second that it advertises; `NO_LIMIT` for none.
         limited_until: Monotonic time until which it advertises that limit, in seconds.
         is_leaving: Whether it announces in responses that it leaves.
         backoff_s: Back-off that it asks for when it rejects a request, in seconds.
         rejection_fraction: Fraction of its requests that it rejects.
-        on_crashing_request: Called with its name when a request crashes it; if None, such requests
-            are harmless.
+        on_crashing_request: Called with its name when a request crashes it; if ``None``,
+            such requests are harmless.
     """
 
     def __init__(
         self,
         name: str,
         service: str,
-        record: EndpointLog,
+        endpoint_log: EndpointLog,
         rng: random.Random,
         *,
         hall: str = "hall1",
@@ -160,7 +160,7 @@
         self.backoff_s = 0.0
         self.rejection_fraction = 0.0
         self._has_sent_notice = False
-        self._log = record
+        self._log = endpoint_log
         self._rng = rng
         self.on_crashing_request: Callable[[str], None] | None = None
         self._running = 0
