--- a/dockreach/direct/caller_connection.py
+++ b/dockreach/direct/caller_connection.py
@@ -140,7 +140,10 @@
             self._buffer_pipelined(data)
 
     def has_disconnected(self) -> bool:
-        """Return whether the caller has closed the connection; buffer pipelined data."""
+        """Return whether the caller has closed the connection; buffer pipelined data.
+
+        Also true if the caller has pipelined too much.
+        """
         raw_sock = self._sock.fd
         while self._pipelined_bytes < MAX_PIPELINED_BYTES:
             try:
--- a/dockreach/direct/coordinator_selection.py
+++ b/dockreach/direct/coordinator_selection.py
@@ -28,8 +28,8 @@
 has just started has measured no endpoint, and doesn't know which slots others hold."""
 
 UNRESPONSIVE_S = 1.0
-"""How long no slots are requested from an entry that did not reply, in seconds. It takes
-about as long to notice a machine that hangs by its missing digests."""
+"""How long no slots are requested from an entry that did not reply, in seconds. If its VM
+hangs, its missing digests show this after about the same time."""
 
 MIN_CAPACITY = 0.01
 """Lower bound of an entry's capacity, as a fraction of a processor core."""
@@ -137,11 +137,11 @@
 
     @property
     def entry_count_with_unseen(self) -> int:
-        """Number of entries that may be running, including those known by name only."""
+        """Number of entries that may be running, including those known by address only."""
         return self.entry_count + self._peers.never_seen_count
 
     def entry_names(self) -> tuple[str, list[str]]:
-        """Return the names of this entry and of all others that may be running."""
+        """Return the IP addresses of this entry and of all others that may be running."""
         own_name = self._peers.own_address.ip
         return own_name, [row.digest.address.ip for row in self._peers.rows]
 
--- a/dockreach/direct/crash_reporter.py
+++ b/dockreach/direct/crash_reporter.py
@@ -22,7 +22,7 @@
 seconds. A running engine waits for a request."""
 
 PENDING_S = 6.0
-"""How long an unanswered request waits for the platform to report the engine's exit, in
+"""How long an unanswered request is kept until the platform reports the engine's exit, in
 seconds: three missed heartbeats. An engine that is back at once accepts connections like
 the old one, so that connecting to it shows nothing."""
 
@@ -39,10 +39,10 @@
 time."""
 
 RESEND_DELAYS_S = (0.1, 0.4, 1.2)
-"""Delays after which the report on a quarantined request is sent again, in seconds: on a
-link that loses half of the datagrams, one of four arrives before most callers retry. A
-first crash is reported once, and then with digests: at 300 entries each report takes 300
-datagrams."""
+"""Delays after which the report on a quarantined request is sent again, in seconds. It is
+sent four times in all, so that on a link that loses half of the datagrams one arrives
+before most callers retry. A first crash is reported once, and then with digests: at 300
+entries each report takes 300 datagrams."""
 
 MAX_STARTUP_REPORTS = 16
 """Maximum number of requests reported at once to an entry that has just started."""
@@ -185,7 +185,7 @@
             self._record_pending_crashes(row)
 
     def _record_pending_crashes(self, row: EndpointRow) -> None:
-        """Record a crash for all requests that were abandoned at an engine lately."""
+        """Record a crash for all requests that an engine left unanswered lately."""
         since = self._clock() - PENDING_S
         for request in self._pending.pop(row.incarnation, ()):
             if request.ended_at >= since:
@@ -194,7 +194,7 @@
     def record_alive(self, row: EndpointRow) -> None:
         """Record a response from an engine: requests lost there before did not crash it.
 
-        It may still be running requests that were abandoned a moment ago.
+        Requests that were abandoned a moment ago are kept: it may still be running them.
         """
         requests = self._pending.pop(row.incarnation, ()) if self._pending else ()
         since = self._clock() - CANCEL_DELAY_S
--- a/dockreach/direct/digest.py
+++ b/dockreach/direct/digest.py
@@ -28,7 +28,8 @@
         revision: Number of the current configuration; 0 for none.
         endpoints_revision: The platform's revision up to which the endpoint list was read.
         in_flight: Requests in flight from the sender, by endpoint.
-        used: Tokens used by each organisation, in time buckets back from now.
+        used: Tokens that each organisation used at the sender, in time buckets back from
+            now.
         fleet_used: Tokens used by each organisation over all entries in the window, as the
             sender knows it; ``None`` unless an entry that needs it has started recently.
         known_peers: Addresses of some other entries.
--- a/dockreach/direct/feeds.py
+++ b/dockreach/direct/feeds.py
@@ -27,7 +27,7 @@
 
 RESPONSE_FRACTION = 0.25
 """Read timeout beyond the wait, as a fraction of the same time: 0.5 s of 2 s. According
-to the users' sheets, a response takes 0.24 s on some days."""
+to the platform's users, a response takes 0.24 s on some days."""
 
 MAX_RESPONSE_FRACTION = 0.5
 """The same after several failures, so that data is also read from a slower platform."""
--- a/dockreach/direct/gossip.py
+++ b/dockreach/direct/gossip.py
@@ -22,7 +22,7 @@
 
 
 class Gossip:
-    """Exchanges digests with all known entries, and other messages with single entries.
+    """Exchanges digests with all known entries, and other messages with some or all.
 
     Args:
         own_address: Where to listen.
--- a/dockreach/direct/notice_tracker.py
+++ b/dockreach/direct/notice_tracker.py
@@ -39,7 +39,7 @@
 
 
 class _Announcement(NamedTuple):
-    """The last message sent to all entries about one endpoint."""
+    """A message to all entries about one endpoint."""
 
     sent_at: float
     rate: float
@@ -143,7 +143,7 @@
         return True
 
     def _mark_leaving(self, row: EndpointRow, *, rid: str = "", peer: str = "") -> bool:
-        """Mark an endpoint as leaving; return whether the platform has not said so."""
+        """Mark an endpoint as leaving; return whether the platform didn't list it so."""
         row.advertised.is_leaving = True
         if row.published.leaving:
             return False
--- a/dockreach/direct/quarantine.py
+++ b/dockreach/direct/quarantine.py
@@ -66,8 +66,8 @@
 
 RETENTION_S = 600.0
 """How long a request is remembered after it last arrived, in seconds. While it keeps
-arriving it stays quarantined; an engine that is replaced by a healthy version receives it
-ten minutes after the last arrival."""
+arriving it stays quarantined, unless a probe completes. After the engines were replaced by
+a healthy version, it runs again once it has not arrived for ten minutes."""
 
 MAX_HISTORIES = 256
 """Maximum number of requests with a crash history, some 0.2 MB; the least recently seen
@@ -91,10 +91,11 @@
 
 
 COPY_GAP_S = 2.0
-"""Interval between two runs of a serialized request, in seconds: three engines crashed
-while copies of it ran at the same time. Within the interval either one more engine crashes
-or a response clears the request. Without it 11 of 160 simulations with four entries sent
-more than three runs after the third crash, up to eleven."""
+"""Interval between two runs of a serialized request, in seconds. Such a request is not
+quarantined although three engines crashed: overlapping runs count as one, and sudden
+crashes as half. Within the interval either one more engine crashes or a response clears the
+request. Without it 11 of 160 simulations with four entries sent more than three runs after
+the third crash, up to eleven."""
 
 QUARANTINED_REFUSAL = Refusal(
     Verdict.NOT_RUN, Reason.CRASHES_ENGINES, retry_after_s=RETENTION_S
--- a/dockreach/direct/routing_config.py
+++ b/dockreach/direct/routing_config.py
@@ -104,7 +104,7 @@
     Attributes:
         tier: Overrides the route's tier; ``None`` keeps the route's.
         rate: Tokens a second over all entries; 0 for no limit.
-        burst: Tokens on top of the rate.
+        burst: Tokens that may be used in each quota window on top of the rate.
         default_tokens: Tokens charged for a request that states no token counts.
         regions: Regions in which its requests may run; empty for all.
     """
--- a/dockreach/direct/slot_client.py
+++ b/dockreach/direct/slot_client.py
@@ -1,4 +1,9 @@
-"""Requests slots from the coordinators of services, for this entry's own requests."""
+"""Requests slots from the coordinators of services, for this entry's own requests.
+
+A state (`SlotState`) is the message that tells a coordinator which requests of this entry
+wait for slots of a service and which hold one. The coordinator's replies (`SlotReply`)
+grant or deny slots to the waiting ones.
+"""
 
 from __future__ import annotations
 
--- a/dockreach/direct/slot_server.py
+++ b/dockreach/direct/slot_server.py
@@ -1,6 +1,8 @@
 """Grants slots to other entries, as the coordinator of a service.
 
-The requests of other entries go through the same dispatcher as this entry's own.
+The requests of other entries go through the same dispatcher as this entry's own. A state
+(`SlotState`) is the message in which a client, that is another entry, lists its requests
+that wait for slots of a service or hold them.
 """
 
 from __future__ import annotations
--- a/dockreach/direct/token_quota.py
+++ b/dockreach/direct/token_quota.py
@@ -271,7 +271,7 @@
         )
 
     def is_discovering_peers(self, now: float) -> bool:
-        """Return whether peers that may have started as well have sent no digest yet."""
+        """Return whether peers that may have just started have sent no digest yet."""
         if not self._has_lost_state(now) or now - self._started_at >= DISCOVERY_S:
             return False
         return self._peers.never_seen_count > 0
